--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -3,9 +3,10 @@
 namespace indigorill {
 namespace {
 
-// Bounds the memory that a fleet, or forged datagrams, can take.
+// Bounds the memory that a large fleet or forged datagrams can take up.
 constexpr std::size_t max_members = 10000;
-// For as long as a dead member is asked for, the two sides of a healed partition can find each other.
+// Dead members are pinged now and then while they are in the table, so that the two sides of a partition that
+// heals within this time find each other again.
 constexpr double dead_member_retention_ms = 600000;
 
 }  // namespace
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The view of one member: all others that it knows of, also those that are dead or have left.
+/// The view of one member: all other members that it knows, including those that are dead or have left.
 #pragma once
 
 #include <array>
@@ -22,25 +22,25 @@
   const Member* find(const std::string& name) const;
   /// Whether no further name may be added.
   bool is_full() const;
-  /// Members that are alive or suspect.
+  /// Number of members that are alive or suspect.
   std::size_t live_count() const { return live_count_; }
-  /// In the order of Member::State.
+  /// Number of members in each state, in the order of Member::State.
   std::array<std::size_t, member_state_count> count_by_state() const;
-  /// The names in alphabetical order of those that are alive, but for one.
+  /// Names of the alive members except `excluded`, in alphabetical order.
   std::vector<std::string> alive_names(const std::string& excluded = {}) const;
-  /// The names in alphabetical order of those that are alive or suspect.
+  /// Names of the members that are alive or suspect, in alphabetical order.
   std::vector<std::string> live_names() const;
-  /// In alphabetical order; valid until the table is changed.
+  /// The dead members in alphabetical order; the pointers are valid until the table is changed.
   std::vector<const Member*> dead_members() const;
 
-  /// Adds the member, or replaces what was known of it.
+  /// Adds the member, or replaces its entry.
   void put(double now, const Member& member);
-  /// Forgets those that have been dead or gone for so long that nobody asks for them any more.
+  /// Removes the members that have been dead or have left for longer than dead_member_retention_ms.
   void forget_ended(double now);
 
  private:
   Entries entries_;
-  std::map<std::string, double> ended_at_;  // when those that are not live were first known to be so
+  std::map<std::string, double> ended_at_;  // when each member that is not live became known as dead or left
   std::size_t live_count_ = 0;
 };
 
