--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -10,11 +10,12 @@
 
 using Kind = SwimMessage::Kind;
 
-// Bounds what a flood of messages can make this process keep.
+// Bounds the memory that a flood of messages can take up in the outbox.
 constexpr std::size_t max_outgoing_messages = 4096;
 // Lifeguard's bound on the local health multiplier.
 constexpr int max_local_health = 8;
-// Twice as many as are asked for an indirect probe: at 20 % loss one leave in 15,000 is heard by nobody.
+// Twice the fan-out of an indirect probe. At 20 % loss, no member receives the announcement of one leave in
+// 15,000.
 constexpr std::size_t leave_fanout = 6;
 
 }  // namespace
@@ -50,7 +51,8 @@
                             const SwimMessage& message) {
   if (has_left_) return;
   compensate_for_pause(now);
-  // A page tells a newcomer what all others know: to spread it again would drown what is new.
+  // A view page consists mostly of entries that the other members know already. Entries that are new only to
+  // this member are not disseminated again, since they would crowd out new updates.
   const Dissemination spread =
       message.kind == Kind::view_page ? Dissemination::if_already_known : Dissemination::always;
   for (const Member& update : message.updates) apply_update(now, update, sender, spread);
@@ -128,7 +130,7 @@
   if (update.name == self_.name) return apply_update_about_self(update);
   const Member* known = members_.find(update.name);
   const bool is_new = known == nullptr;
-  // The death of a member that was never met needs no entry.
+  // A member that is unknown here and already dead or left needs no entry.
   if (is_new && (members_.is_full() || !is_live(update))) return;
   if (!is_new && *known == update) {
     if (suspicions_.confirm(update.name, reporter)) pending_updates_.enqueue(update.name);
@@ -146,7 +148,8 @@
 
 void Membership::apply_update_about_self(const Member& update) {
   if (update.address != self_.address && is_live(update)) {
-    // Two processes with one name: the later one has it. If each refuted the other it would never end.
+    // Two processes have the same name: the one with the higher incarnation (or address, if both incarnations
+    // are equal) keeps it. If each process refuted the other, the refutations would never end.
     const bool is_later =
         std::tie(update.incarnation, update.address) > std::tie(self_.incarnation, self_.address);
     if (is_later && !std::exchange(displaced_, true)) ++counters_.displacements;
@@ -154,15 +157,16 @@
   }
   if (update.incarnation < self_.incarnation) return;
   if (update.incarnation == self_.incarnation && !supersedes(update, self_)) return;
-  // Others take it for suspect or dead, or it came back with an earlier clock than it once had.
+  // Other members consider this one suspect or dead, or it restarted with an earlier clock and they know a
+  // higher incarnation of it.
   displaced_ = false;
   self_.incarnation = update.incarnation + 1;
   ++counters_.refutations;
   if (update.state == Member::State::suspect) degrade_local_health(1);
 }
 
-// The buddy: a member that is suspected or taken for dead hears of it first of all, so that it can refute it
-// (Lifeguard's buddy system).
+// `buddy` is the name of the recipient, if known. If it is not alive in this view, its entry is added before
+// the other updates, so that the recipient can refute it (Lifeguard's buddy system).
 void Membership::send(const std::string& address, SwimMessage message, const std::string& buddy) {
   if (address.empty() || outbox_.size() >= max_outgoing_messages) return;
   UpdateAppender updates(message);
@@ -199,7 +203,9 @@
   local_health_ = std::min(local_health_ + steps, max_local_health);
 }
 
-// This process stood still: what it has not heard meanwhile says nothing of the others.
+// A timer that is late by a probe interval or more means that this process was paused. The replies that it
+// missed meanwhile say nothing about the other members, so running probes are discarded and suspicions are
+// postponed.
 void Membership::compensate_for_pause(double now) {
   const double late_ms = now - next_timer_at();
   if (late_ms < config_.probe_interval_ms) return;
--- a/src/membership/membership_probing.cpp
+++ b/src/membership/membership_probing.cpp
@@ -13,9 +13,10 @@
 // SWIM's k: with three helpers at 20 % loss a live member is missed by all of them once in 150 probes or
 // less.
 constexpr std::size_t indirect_probe_fanout = 3;
-// Pings on behalf of others that are kept at a time; further requests are not answered.
+// Bound on the concurrent pings on behalf of other members; further requests are ignored.
 constexpr std::size_t max_indirect_probes = 256;
-// A helper's nack is sent after this part of the timeout, as in Lifeguard, so that it arrives in time.
+// A helper sends its nack after this fraction of the probe timeout, as in Lifeguard, so that the nack arrives
+// in time.
 constexpr double nack_timeout_share = 0.8;
 
 }  // namespace
@@ -31,8 +32,8 @@
   ++counters_.probes_sent;
 }
 
-// All live members in a random order, then all in a new one (SWIM, section 4.3): the time until a failed
-// member is probed is bounded. Empty if there are none.
+// Goes through all live members in a random order, then again in a new order (SWIM, section 4.3), which
+// bounds the time until a failed member is probed. Returns an empty name if no member is live.
 std::string Membership::next_probe_target() {
   while (true) {
     if (probe_order_.empty()) {
@@ -47,8 +48,8 @@
   }
 }
 
-// A newcomer is probed at a random place of the present order; an empty order takes it up when it is
-// refilled.
+// Inserts a new member at a random position of the current order. An empty order will include the member when
+// it is refilled.
 void Membership::insert_into_probe_order(const std::string& name) {
   if (probe_order_.empty()) return;
   const std::size_t position = random_index(probe_order_.size() + 1);
@@ -78,7 +79,7 @@
     return;
   }
   ++counters_.failed_probes;
-  // Helpers answer at least with a nack: a member that misses those too is likely to be slow itself.
+  // Each helper replies at least with a nack. If nacks are missing too, this process is probably slow itself.
   const std::size_t missing_nacks =
       probe.indirect_requests - std::min(probe.indirect_requests, probe.nacks_received);
   degrade_local_health(probe.indirect_requests == 0 ? 1 : static_cast<int>(missing_nacks));
--- a/src/membership/membership_view_sync.cpp
+++ b/src/membership/membership_view_sync.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Membership's anti-entropy: joining, the exchange of whole views, and the way back after a partition.
+/// Membership's anti-entropy: joining, the exchange of full views, and reconnection after a partition.
 #include <algorithm>
 #include <array>
 
@@ -10,20 +10,21 @@
 
 using Kind = SwimMessage::Kind;
 
-// Rounds between two reads of a page of another member's view: they repair views that differ.
+// Probe rounds between two requests for a page of another member's view, which repair views that differ.
 constexpr std::uint64_t view_sync_interval_rounds = 5;
-// Rounds between two attempts to reach a dead member and a seed: they heal a partition.
+// Probe rounds between two pings of a dead member and a seed, which reconnect the sides of a healed
+// partition.
 constexpr std::uint64_t reconnect_interval_rounds = 5;
-// Of many members that start at once the first pages name few: a newcomer reads the whole view again in these
-// rounds.
+// When many members start at once, the first view pages list only a few of them, so a new member reads the
+// full view again in these probe rounds.
 constexpr std::array<std::uint64_t, 2> view_reread_rounds{4, 10};
 
 }  // namespace
 
 void Membership::join(double now) {
   next_join_at_ = now + config_.probe_interval_ms;
-  // The member drawn here is not used: request_view_page draws another one. It stays, so that runs with a
-  // given seed stay reproducible.
+  // The member drawn here is not used, since request_view_page draws another one. The draw is kept so that
+  // runs with a given seed stay reproducible.
   if (random_alive_member().empty()) {
     for (const std::string& seed : config_.seed_addresses) {
       if (seed != self_.address) request_view_page_from(seed);
@@ -51,8 +52,8 @@
   }
 }
 
-// The two sides of a partition take each other for dead, so neither probes the other: after it has healed
-// somebody has to ask the dead, and the seeds.
+// The two sides of a partition declare each other dead and no longer probe each other. Pings of dead members
+// and of seeds reconnect the two sides after the partition has healed.
 void Membership::reconnect(double now) {
   if (probe_round_ % reconnect_interval_rounds != 0) return;
   members_.forget_ended(now);
@@ -87,7 +88,7 @@
   if (next != entries.end()) {
     page.target = page.updates.back().name;
   } else {
-    // The end of the view: what room is left goes to the names before the page.
+    // The page reaches the end of the view; the remaining room is filled with entries from the beginning.
     next = entries.begin();
     while (next != entries.end() && next->first <= request.target && updates.append(next->second)) ++next;
   }
