--- a/src/membership/suspicion_table.cpp
+++ b/src/membership/suspicion_table.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 // Lifeguard's alpha and beta: a suspicion lasts for at least alpha log10(n) probe intervals, and for beta
-// times as long while nobody else confirms it.
+// times as long without a confirmation by another member.
 constexpr double suspicion_multiplier = 4;
 constexpr double max_suspicion_multiplier = 6;
-// Lifeguard's K: with so many confirmations a suspicion has its least duration.
+// Lifeguard's K: the number of confirmations at which a suspicion has its minimum duration.
 constexpr double expected_confirmations = 3;
 
 }  // namespace
@@ -47,13 +47,13 @@
 }
 
 double SuspicionTable::deadline_of(const Suspicion& suspicion, const SuspicionTiming& timing) {
-  // Lifeguard, section IV-B.
+  // The formula of Lifeguard, section IV-B.
   const double live_count = static_cast<double>(timing.live_count);
   const double min_duration_ms = suspicion_multiplier * std::max(1.0, std::log10(live_count)) *
                                  timing.probe_interval_ms * timing.health_multiplier;
   const double max_duration_ms = max_suspicion_multiplier * min_duration_ms;
   const double confirmations = static_cast<double>(suspicion.accusers.size()) - 1;
-  // In a small fleet fewer members can confirm it.
+  // In a small fleet fewer members can confirm the suspicion.
   const double wanted_confirmations = std::min(expected_confirmations, std::max(1.0, live_count - 2));
   const double duration_ms = max_duration_ms - (max_duration_ms - min_duration_ms) *
                                                    std::log(std::max(confirmations, 0.0) + 1) /
--- a/src/membership/suspicion_table.h
+++ b/src/membership/suspicion_table.h
@@ -1,6 +1,6 @@
 /// \file
-/// Lifeguard's local suspicion timers: a member that does not answer is suspected before it is declared dead,
-/// for the shorter a time the more others suspect it on their own account.
+/// Lifeguard's local suspicion timers: a member that does not answer is suspected before it is declared dead.
+/// The more members suspect it independently, the shorter the suspicion lasts.
 #pragma once
 
 #include <cstddef>
@@ -11,32 +11,33 @@
 
 namespace indigorill {
 
-/// What the duration of all suspicions depends on.
+/// The parameters of the duration of all suspicions.
 struct SuspicionTiming {
   double probe_interval_ms = 0;
-  std::size_t live_count = 1;    ///< Members that are alive or suspect, this one included.
-  double health_multiplier = 1;  ///< 1 for a healthy process, more for one that is slow itself.
+  std::size_t live_count = 1;    ///< Number of members that are alive or suspect, this one included.
+  double health_multiplier = 1;  ///< 1 for a healthy process, higher for a slow one.
 };
 
-/// The members that are suspected now. Times are in ms, by the caller's clock.
+/// The members that are suspected at present. Times are in ms, by the caller's clock.
 class SuspicionTable {
  public:
   void start(double now, const std::string& name, const std::string& accuser);
   void clear(const std::string& name) { suspicions_.erase(name); }
-  /// Returns whether the accuser is new and was counted.
+  /// Returns whether the accuser is a new one and was counted.
   bool confirm(const std::string& name, const std::string& accuser);
-  /// Moves all deadlines by a time in which this process stood still.
+  /// Postpones all deadlines by the duration of a pause of this process.
   void postpone(double duration_ms);
 
-  /// Infinite if nobody is suspected.
+  /// The earliest deadline; infinite if no member is suspected.
   double next_deadline(const SuspicionTiming& timing) const;
-  /// The names of those whose deadline has passed, in alphabetical order. They stay until they are cleared.
+  /// Names of the suspected members whose deadline has passed, in alphabetical order. They stay suspected
+  /// until they are cleared.
   std::vector<std::string> expired(double now, const SuspicionTiming& timing) const;
 
  private:
   struct Suspicion {
     double started_at = 0;
-    std::set<std::string> accusers;  // those that suspect it on their own account
+    std::set<std::string> accusers;  // members that suspect it independently
   };
 
   static double deadline_of(const Suspicion& suspicion, const SuspicionTiming& timing);
--- a/src/membership/swim_message.cpp
+++ b/src/membership/swim_message.cpp
@@ -6,10 +6,10 @@
 namespace indigorill {
 namespace {
 
-// The updates of a message stay under this, so that its datagram stays well under the 1,400 bytes that no
-// path between two members fragments.
+// Bound on the updates of a message, which keeps its datagram well under 1,400 bytes: no path between two
+// members fragments a datagram of that size.
 constexpr std::size_t max_update_bytes = 900;
-// Of one update: its incarnation, its state and the headers of its four fields.
+// Size of one update without its texts: its incarnation, its state and the headers of its four fields.
 constexpr std::size_t encoded_numbers_bytes = 14;
 
 std::size_t encoded_bytes(const Member& member) {
--- a/src/membership/update_queue.cpp
+++ b/src/membership/update_queue.cpp
@@ -6,8 +6,8 @@
 namespace indigorill {
 namespace {
 
-// Each update is sent so many times log10 of the number of members: memberlist's and Lifeguard's figure is
-// four.
+// Each update is sent this many times log10 of the number of members. The value of four is that of memberlist
+// and Lifeguard.
 constexpr double retransmit_multiplier = 4;
 
 int transmit_limit(std::size_t live_count) {
--- a/src/membership/update_queue.h
+++ b/src/membership/update_queue.h
@@ -1,5 +1,6 @@
 /// \file
-/// Dissemination: which updates are still to be piggybacked on messages, and how often.
+/// Dissemination: the updates that are still to be piggybacked on messages, and the number of times that each
+/// was sent.
 #pragma once
 
 #include <cstddef>
@@ -13,16 +14,17 @@
 
 namespace indigorill {
 
-/// Updates that are spread at present, by the name of the member. What is sent is always the table's latest.
+/// The updates that are being disseminated, by the name of the member. The entry that is sent is always the
+/// latest one in the member table.
 class UpdateQueue {
  public:
-  /// Spreads what is known of the member; from the beginning if it is spread already.
+  /// Starts to disseminate the member's entry. If it is being disseminated already, it starts anew.
   void enqueue(const std::string& name) { times_sent_[name] = 0; }
 
-  /// Appends as many updates as fit, those that were sent least often first, and counts them as sent.
-  /// \param excluded the name of a member whose update is left out; it is not counted either.
-  /// \param live_count members that are alive or suspect, this one included: it decides on how often each
-  /// update is sent.
+  /// Appends as many updates as fit, the least often sent ones first, and counts them as sent.
+  /// \param excluded the name of a member whose update is neither appended nor counted.
+  /// \param live_count the number of members that are alive or suspect, this one included; it determines how
+  /// often each update is sent.
   void append_to(UpdateAppender& message, const MemberTable& members, const std::string& excluded,
                  std::size_t live_count);
 
