--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -12,29 +12,30 @@
 namespace indigorill {
 namespace {
 
-// Later than that of this sidecar's last start, if the machine's clock is right; if not, the others say so.
+// Higher than the incarnation of this sidecar's previous start if the machine's clock is correct. Otherwise
+// the other members report the higher one, and Membership raises its own above that.
 std::uint64_t new_incarnation() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count());
 }
 
-// Never used twice, whatever the machine's clock says.
+// Random, so that no session is used twice, whatever the machine's clock shows.
 std::uint64_t new_session() {
   std::random_device random;
   const std::uint64_t high_bits = random();
   return high_bits << 32 | random();
 }
 
-// Each part draws from a sequence of its own.
+// Added to the seed, so that each component has its own random sequence.
 constexpr std::uint64_t lease_seed_offset = 1;
 constexpr std::uint64_t node_seed_offset = 3;
 
 }  // namespace
 
 double ClusterNode::now_ms() {
-  // Not the loop's clock: it stands still while the machine is suspended, and what expired meanwhile must
-  // count as expired.
+  // The event loop's clock is not used: it stops while the machine is suspended, and leases and grants that
+  // expire meanwhile must count as expired.
   timespec time{};
   ::clock_gettime(CLOCK_BOOTTIME, &time);
   return static_cast<double>(time.tv_sec) * 1e3 + static_cast<double>(time.tv_nsec) / 1e6;
@@ -68,11 +69,12 @@
     socket_ = std::make_unique<DatagramSocket>(
         event_loop_, config_.listen_address,
         [this](std::string_view bytes, const sockaddr_in&) { on_datagram(bytes); });
-    logger_.info() << "member " << config_.name << " of fleet " << config_.fleet << ", incarnation "
+    logger_.info() << "joining fleet " << config_.fleet << " as member " << config_.name << ", incarnation "
                    << membership_.incarnation();
     run_due_work();
   } catch (const std::system_error& error) {
-    // An older process of this sidecar may hold the address until it leaves: RPCs go on without.
+    // An older process of this sidecar may hold the address until it leaves the fleet. RPCs are served
+    // meanwhile.
     constexpr double retry_interval_ms = 100;
     logger_.debug() << "datagram address not available yet: " << error.what();
     work_timer_ = event_loop_.schedule_at(event_loop_.now() + retry_interval_ms, [this] { open_socket(); });
@@ -86,7 +88,7 @@
   run_leader_lease();
   request_quota();
   log_changes();
-  constexpr double min_delay_ms = 1;  // or a loop that only runs its own timers would serve nobody
+  constexpr double min_delay_ms = 1;  // without it, timers always due could starve the other events
   const double delay_ms = std::max(min_delay_ms, next_work_at() - now_ms());
   work_timer_ = event_loop_.schedule_at(event_loop_.now() + delay_ms, [this] { run_due_work(); });
 }
@@ -106,7 +108,7 @@
   send_membership_messages();
   has_left_ = true;
   work_timer_.cancel();
-  socket_.reset();  // a newer process of this sidecar may take the address
+  socket_.reset();  // frees the address for a newer process of this sidecar
 }
 
 // Datagrams.
@@ -137,7 +139,7 @@
     case Envelope::Kind::membership:
       return membership_.on_message(now_ms(), envelope.name, envelope.address, envelope.swim_message);
     case Envelope::Kind::load_gossip:
-      return;  // not used between processes yet
+      return;  // processes do not exchange load gossip yet
     case Envelope::Kind::lease:
       if (leader_lease_) leader_lease_->on_message(now_ms(), envelope.name, envelope.lease_message);
       return;
@@ -203,7 +205,7 @@
 
 void ClusterNode::request_quota() {
   if (!quota_client_ || now_ms() < next_quota_request_at_) return;
-  constexpr double requests_per_grant = 3;  // two of them may be lost before a grant ends
+  constexpr double requests_per_grant = 3;  // two of them may be lost before a grant expires
   next_quota_request_at_ = now_ms() + config_.quota->grant_duration_ms / requests_per_grant;
   QuotaRequest request = quota_client_->make_request(now_ms());
   if (is_leader()) {
@@ -215,7 +217,7 @@
 }
 
 void ClusterNode::send_quota_request(QuotaRequest request) {
-  // The leader that it knows of may be dead: after two requests without an answer any voter is asked.
+  // The last known leader may be dead: after two unanswered requests a random voter is asked.
   constexpr int max_unanswered_requests = 2;
   if (unanswered_quota_requests_ >= max_unanswered_requests) allocator_name_.clear();
   ++unanswered_quota_requests_;
@@ -256,7 +258,8 @@
   unanswered_quota_requests_ = 0;
   if (grant.status != QuotaGrant::Status::not_leader) return;
   allocator_name_ = grant.leader;
-  // Once for each voter that was drawn: two that name each other would be asked in turn for ever.
+  // Only the first redirect after the draw of a voter is followed at once: two members that redirect to each
+  // other would otherwise be asked in turn without end.
   if (!allocator_name_.empty() && std::exchange(may_follow_redirect_, false)) {
     next_quota_request_at_ = now_ms();
   }
--- a/src/cluster/cluster_node.h
+++ b/src/cluster/cluster_node.h
@@ -1,10 +1,11 @@
 /// \file
-/// This sidecar among the others of its fleet: membership, the leader lease and quotas on one datagram
+/// One sidecar's node in the cluster of its fleet: membership, the leader lease and quotas on one datagram
 /// socket.
 ///
-/// The only place that reads the clock for the three, CLOCK_BOOTTIME, which goes on while the machine sleeps.
-/// Safety: that no budget is exceeded rests on the lease and the quota alone, and on each of their questions
-/// being asked with the present time; membership only tells addresses, and a wrong one costs a datagram.
+/// Only this class reads the clock for the three of them: CLOCK_BOOTTIME, which keeps running while the
+/// machine is suspended. Safety: the guarantee that no budget is exceeded depends only on the lease and the
+/// quota, and on each of their functions being called with the current time. Membership only provides
+/// addresses; a wrong address costs a datagram.
 #pragma once
 
 #include <netinet/in.h>
@@ -38,39 +39,41 @@
 class ClusterNode {
  public:
   struct Config {
-    std::string fleet;                        ///< Datagrams of any other one are dropped.
-    std::string name;                         ///< The sidecar's own, unique in its fleet; see is_valid_name.
-    sockaddr_in listen_address{};             ///< For datagrams.
-    std::string advertised_address;           ///< Where others reach it, "address:port".
-    std::vector<std::string> seed_addresses;  ///< Of the members through which it joins.
+    std::string fleet;               ///< Name of the fleet; datagrams of other fleets are dropped.
+    std::string name;                ///< Name of the sidecar, unique in its fleet; see is_valid_name.
+    sockaddr_in listen_address{};    ///< Address that datagrams are received at.
+    std::string advertised_address;  ///< Address that others send datagrams to, "address:port".
+    std::vector<std::string> seed_addresses;  ///< Addresses of the members through which it joins.
     double probe_interval_ms = 1000;
     double probe_timeout_ms = 300;
-    std::vector<std::string> voters;   ///< Members that elect the leader; none: there is no leader.
-    double lease_ms = 10000;           ///< Of the leader.
-    std::optional<QuotaConfig> quota;  ///< Budgets that the leader allocates; needs voters.
-    double max_clock_drift = 0.01;     ///< By how much the rate of any clock may be off.
+    std::vector<std::string> voters;   ///< Members that elect the leader; without voters there is none.
+    double lease_ms = 10000;           ///< Duration of the leader's lease, in ms.
+    std::optional<QuotaConfig> quota;  ///< Budgets that the leader allocates; requires voters.
+    double max_clock_drift = 0.01;     ///< Bound on the relative error of any clock's rate.
   };
 
   struct Counters {
     std::uint64_t sent = 0;
-    std::uint64_t send_failures = 0;  ///< Also datagrams that were too long, or for an unknown address.
-    std::uint64_t received = 0;       ///< Those that were dropped included.
+    std::uint64_t send_failures = 0;  ///< Includes datagrams that were too long or for an unknown address.
+    std::uint64_t received = 0;       ///< Includes those that were dropped.
     std::uint64_t bytes_sent = 0;
-    std::array<std::uint64_t, decode_error_count> undecodable{};  ///< Dropped, by DecodeError.
-    std::array<std::uint64_t, replay_error_count> replayed{};     ///< Dropped, by ReplayError.
+    std::array<std::uint64_t, decode_error_count> undecodable{};  ///< Dropped datagrams, by DecodeError.
+    std::array<std::uint64_t, replay_error_count> replayed{};     ///< Dropped datagrams, by ReplayError.
   };
 
-  /// If the address is in use, for example by an older process of this sidecar, it is tried again later.
+  /// If the address is in use, for example by an older process of this sidecar, binding it is retried later.
   ClusterNode(EventLoop& event_loop, Logger& logger, Config config, std::uint64_t seed);
 
   /// Units of a budget that this sidecar may use now. A budget that is not configured is unlimited.
   double available(std::string_view budget);
-  /// Takes one unit, if there is one. A budget that is not configured is unlimited.
+  /// Takes one unit if one is available, and returns whether it did. A budget that is not configured is
+  /// unlimited.
   bool try_acquire(std::string_view budget);
-  /// Counts a unit that was wanted and not taken.
+  /// Counts one unit as demanded without acquiring it.
   void record_demand(std::string_view budget);
 
-  /// Resigns and announces it. Nothing is sent or received afterwards, and the address is free.
+  /// Resigns as leader, announces that this sidecar leaves, and frees the address. Nothing is sent or
+  /// received afterwards.
   void leave();
 
   /// The status of membership, lease and datagrams, for GET /-/members.
@@ -106,7 +109,7 @@
   void on_quota_grant(const QuotaGrant& grant);
   std::optional<std::size_t> budget_index(std::string_view budget) const;
 
-  // Log lines for what has changed since the last call.
+  // Log lines about changes since the last call.
   void log_changes();
   void log_leader();
   void log_member_states();
@@ -121,7 +124,7 @@
   Logger& logger_;
   Config config_;
   std::knuth_b random_;
-  std::unique_ptr<DatagramSocket> socket_;  // none while the address is not available
+  std::unique_ptr<DatagramSocket> socket_;  // null while the address is not available, and after leave()
   EventLoop::Timer work_timer_;
   ReplayFilter replay_filter_;
   std::uint64_t last_sequence_number_ = 0;
@@ -129,12 +132,12 @@
   Counters counters_;
 
   Membership membership_;
-  std::optional<LeaderLease> leader_lease_;        // with voters
-  std::optional<QuotaAllocator> quota_allocator_;  // while this node is the leader and was asked
-  std::optional<QuotaClient> quota_client_;        // with a quota
+  std::optional<LeaderLease> leader_lease_;        // set if there are voters
+  std::optional<QuotaAllocator> quota_allocator_;  // set while this node leads, from the first request on
+  std::optional<QuotaClient> quota_client_;        // set if there are voters and a quota
   double next_quota_request_at_ = 0;
-  std::string allocator_name_;         // whom to ask; empty: any voter
-  int unanswered_quota_requests_ = 0;  // since the last answer
+  std::string allocator_name_;         // member to send quota requests to; empty for a random voter
+  int unanswered_quota_requests_ = 0;  // requests since the last answer
   bool may_follow_redirect_ = false;
 
   std::string logged_leader_;
--- a/src/cluster/cluster_node_status.cpp
+++ b/src/cluster/cluster_node_status.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What ClusterNode reports to operators: log lines for changes, and the JSON of the admin server.
+/// The status that ClusterNode reports to operators: log lines about changes, and the JSON of the admin
+/// server.
 #include <utility>
 
 #include "cluster/cluster_node.h"
@@ -7,8 +8,8 @@
 namespace indigorill {
 
 void ClusterNode::log_changes() {
-  // What it granted is known to nobody else, and others may grant after it: with the next lease it begins
-  // anew.
+  // Only this allocator knows its grants, and other leaders may grant after it, so the next lease begins with
+  // a new allocator.
   if (quota_allocator_ && !is_leader()) quota_allocator_.reset();
   log_leader();
   log_member_states();
@@ -42,9 +43,9 @@
   const bool is_displaced = membership_.is_displaced();
   if (std::exchange(logged_displaced_, is_displaced) == is_displaced) return;
   if (is_displaced) {
-    logger_.warning() << "another process has the name " << config_.name;
+    logger_.warning() << "another process uses the name " << config_.name;
   } else {
-    logger_.warning() << "no other process has the name " << config_.name << " any more";
+    logger_.warning() << "no other process uses the name " << config_.name << " any more";
   }
 }
 
@@ -52,9 +53,10 @@
   const bool is_rejected = quota_client_->is_rejected_at_capacity();
   if (std::exchange(logged_quota_rejected_, is_rejected) == is_rejected) return;
   if (is_rejected) {
-    logger_.warning() << "more sidecars than allowed: this one has no quota";
+    logger_.warning() << "the fleet has more sidecars than its quota allows; this one has no quota";
   } else {
-    logger_.warning() << "no longer more sidecars than allowed: this one may have a quota";
+    logger_.warning()
+        << "the fleet no longer has more sidecars than its quota allows; this one may have a quota";
   }
 }
 
