--- a/src/cluster/array_reader.cpp
+++ b/src/cluster/array_reader.cpp
@@ -36,7 +36,8 @@
 }
 
 double ArrayReader::read_duration_ms() {
-  // No sound process counts on more than a day; far larger values would lose precision when added to a clock.
+  // No correct process sends a duration of more than a day; far larger values would lose precision when added
+  // to a clock reading.
   constexpr double max_duration_ms = 86400000;
   const json* element = next_element();
   if (element != nullptr && element->is_number()) {
--- a/src/cluster/datagram_socket.cpp
+++ b/src/cluster/datagram_socket.cpp
@@ -10,9 +10,9 @@
 namespace indigorill {
 namespace {
 
-// A flood must not keep the RPCs waiting: after so many datagrams it is the turn of other descriptors.
+// After this many datagrams other descriptors are served first, so that a flood does not delay RPCs.
 constexpr int max_datagrams_per_round = 64;
-// Longer than any datagram that is meant for us, so that a truncated one is seen to be too long.
+// Longer than any valid datagram, so that a truncated one is recognized as too long.
 constexpr std::size_t receive_buffer_bytes = 2048;
 
 }  // namespace
@@ -21,7 +21,7 @@
     : event_loop_(event_loop),
       on_receive_(std::move(on_receive)),
       fd_(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
-  // No SO_REUSEADDR: two processes with one address would each receive a part of the datagrams.
+  // SO_REUSEADDR is not set: two processes bound to one address would each receive a part of the datagrams.
   if (!fd_ || ::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) < 0) {
     throw std::system_error(errno, std::generic_category(), "datagram socket");
   }
@@ -38,8 +38,8 @@
     const ssize_t size = ::recvfrom(fd_.get(), buffer.data(), buffer.size(), 0,
                                     reinterpret_cast<sockaddr*>(&sender), &sender_size);
     if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-    // Any other error belongs to a datagram sent earlier (ECONNREFUSED: nobody listens there). It is cleared
-    // by reading it.
+    // Any other error belongs to a datagram sent earlier (ECONNREFUSED: no socket is bound to its address).
+    // This read has cleared the error.
     if (size >= 0) on_receive_({buffer.data(), static_cast<std::size_t>(size)}, sender);
   }
   event_loop_.requeue(watch_);
--- a/src/cluster/datagram_socket.h
+++ b/src/cluster/datagram_socket.h
@@ -12,18 +12,19 @@
 
 namespace indigorill {
 
-/// Nothing is buffered: what the kernel doesn't take is lost, as any datagram may be. The event loop must
-/// outlive the socket.
+/// Does not buffer: a datagram that the kernel does not accept is lost, as any datagram may be. The event
+/// loop must outlive the socket.
 class DatagramSocket {
  public:
-  /// The bytes are valid during the call alone.
+  /// The bytes are valid only during the call.
   using ReceiveHandler = std::function<void(std::string_view bytes, const sockaddr_in& sender)>;
 
-  /// Binds the address; port 0 takes any free one. Throws std::system_error where it is not available.
+  /// Binds the address; port 0 selects any free port. Throws std::system_error if the address is not
+  /// available.
   DatagramSocket(EventLoop& event_loop, const sockaddr_in& address, ReceiveHandler on_receive);
 
   const sockaddr_in& local_address() const { return local_address_; }
-  /// Returns whether the kernel took the datagram.
+  /// Returns whether the kernel accepted the datagram.
   bool send(const sockaddr_in& recipient, std::string_view bytes);
 
  private:
@@ -33,7 +34,7 @@
   ReceiveHandler on_receive_;
   FileDescriptor fd_;
   sockaddr_in local_address_{};
-  EventLoop::Watch watch_;  // goes before the descriptor
+  EventLoop::Watch watch_;  // declared after fd_, so destroyed before it
 };
 
 }  // namespace indigorill
--- a/src/cluster/replay_filter.cpp
+++ b/src/cluster/replay_filter.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr std::uint64_t window_bits = 64;
-// Bounds the memory that forged senders can take.
+// Bounds the memory that datagrams of forged senders can take up.
 constexpr std::size_t max_senders = 10000;
-// Once there are too many senders, those that were silent for so long are forgotten first.
+// Once there are too many senders, those that were silent for longer than this are removed first.
 constexpr double sender_retention_ms = 3600000;
 
 }  // namespace
--- a/src/cluster/replay_filter.h
+++ b/src/cluster/replay_filter.h
@@ -1,6 +1,6 @@
 /// \file
-/// Drops datagrams that were received before: a network may duplicate and delay them, and anyone can send a
-/// recorded one again.
+/// Detects datagrams that were received before: a network may duplicate and delay datagrams, and a recorded
+/// one can be sent again by any host.
 #pragma once
 
 #include <cstddef>
@@ -15,11 +15,11 @@
 
 namespace indigorill {
 
-/// Why a datagram that could be read is dropped.
+/// The reason why a decoded datagram is dropped.
 enum class ReplayError : std::uint8_t {
-  stale_incarnation,  ///< From before the last restart of its sender.
+  stale_incarnation,  ///< Of an earlier incarnation of its sender than the latest one received.
   duplicate,
-  outside_window,  ///< So late that it can't be told from a duplicate.
+  outside_window,  ///< So late that it cannot be distinguished from a duplicate.
 };
 constexpr std::size_t replay_error_count = 3;
 
@@ -29,15 +29,15 @@
 /// Keeps a window over the sequence numbers of each sender, as in RFC 4303, section 3.4.3.
 class ReplayFilter {
  public:
-  /// Nothing if the datagram is a new one, which is then remembered.
-  /// \param now in ms, by any clock that doesn't go back.
+  /// Returns why the datagram must be dropped, or nothing if it is new. A new one is recorded.
+  /// \param now in ms, by any monotonic clock.
   std::optional<ReplayError> check(const Envelope& envelope, double now);
 
  private:
   struct Sender {
     std::uint64_t incarnation = 0;
     std::uint64_t highest_sequence_number = 0;
-    std::uint64_t received_window = 0;  // bit n: whether the number n below the highest one was received
+    std::uint64_t received_window = 0;  // bit n: whether highest_sequence_number - n was received
     double last_heard_at = 0;
   };
 
