--- a/src/cluster/envelope.cpp
+++ b/src/cluster/envelope.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// The first element of each datagram. A later version is not guessed at.
+// The first element of each datagram. Datagrams of another version are rejected.
 constexpr int format_version = 1;
 constexpr std::size_t envelope_field_count = 8;
 
@@ -33,7 +33,7 @@
   return {};
 }
 
-// Returns whether there was a message, and takes it if so.
+// Moves the decoded message, if any, into the target. Returns whether there was one.
 template <class Message>
 bool assign(Message& target, std::optional<Message> decoded) {
   if (!decoded) return false;
@@ -41,7 +41,7 @@
   return true;
 }
 
-// Reads the message that the envelope's kind names. Returns whether the body fits.
+// Decodes the body as the message that the envelope's kind names. Returns whether the body is valid.
 bool decode_body(const json& body, Envelope& envelope) {
   switch (envelope.kind) {
     case Envelope::Kind::membership:
@@ -79,7 +79,7 @@
 
 std::variant<Envelope, DecodeError> decode_envelope(std::string_view bytes, std::string_view fleet) {
   if (bytes.size() > max_datagram_bytes) return DecodeError::too_long;
-  constexpr bool is_strict = true;  // no bytes may follow
+  constexpr bool is_strict = true;  // no bytes may follow the array
   constexpr bool may_throw = false;
   const json fields = json::from_msgpack(bytes.begin(), bytes.end(), is_strict, may_throw);
   if (!fields.is_array() || fields.empty() || !fields[0].is_number_unsigned()) return DecodeError::malformed;
--- a/src/cluster/message_codec.cpp
+++ b/src/cluster/message_codec.cpp
@@ -8,14 +8,14 @@
 
 using nlohmann::json;
 
-// Elements of each array.
+// Number of elements of each array.
 constexpr std::size_t member_field_count = 4;
 constexpr std::size_t swim_message_field_count = 5;
 constexpr std::size_t lease_message_field_count = 7;
 constexpr std::size_t quota_request_field_count = 5;
 constexpr std::size_t quota_grant_field_count = 8;
 
-// No sound process comes that far; a ballot at the end of the number's range could not be exceeded.
+// No correct process reaches this round; a ballot at the end of the integer's range could not be exceeded.
 constexpr std::uint64_t max_ballot_round = std::uint64_t{1} << 48;
 
 json encode_member(const Member& member) {
@@ -44,7 +44,7 @@
   return members;
 }
 
-// Amounts of units, by budget.
+// Decodes the amounts of units, one for each budget.
 std::optional<std::vector<double>> decode_amounts(const json& body) {
   constexpr double max_amount = 1e9;
   if (!body.is_array()) return {};
--- a/src/cluster/message_codec.h
+++ b/src/cluster/message_codec.h
@@ -1,8 +1,8 @@
 /// \file
 /// The bodies of datagrams, one for each kind of message, as arrays of MessagePack (nlohmann::json).
 ///
-/// Arrays rather than objects: the names of fields would take most of a datagram. The order of the elements
-/// is the wire format. Each decoder returns nothing if the body doesn't fit in any way.
+/// The bodies are arrays rather than objects, since the names of fields would take up most of a datagram. The
+/// order of the elements is the wire format. Each decoder returns nothing if any part of the body is invalid.
 #pragma once
 
 #include <nlohmann/json.hpp>
