--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -32,7 +32,7 @@
  public:
   using LinkFilter = std::function<bool(std::size_t from, std::size_t to)>;
 
-  /// All nodes start at once; the first one is the only seed.
+  /// Starts all nodes at once; the first one is the only seed.
   explicit SimulatedNetwork(std::size_t node_count) {
     start(0, {});
     for (std::size_t i = 1; i < node_count; ++i) start(i, {address(0)});
@@ -82,7 +82,7 @@
     }
   }
 
-  /// Hands one node's messages over at once, as if another one had sent them.
+  /// Delivers a node's pending messages at once, under the given sender name and reply address.
   void deliver_directly(std::size_t node, const std::string& sender, const std::string& reply_address) {
     while (const auto outgoing = nodes_[node].membership->next_message()) {
       const auto receiver = node_by_address_.find(outgoing->recipient);
@@ -101,7 +101,7 @@
     if (entry == view.end()) return {};
     return entry->second.state;
   }
-  /// How many of the running nodes see a node in this state.
+  /// Number of other running nodes that see a node in this state.
   std::size_t count_observers(std::size_t node, State state) const {
     std::size_t count = 0;
     for (std::size_t i = 0; i < size(); ++i) {
@@ -109,7 +109,7 @@
     }
     return count;
   }
-  /// Whether all running nodes see each other alive.
+  /// Whether all running nodes see each other as alive.
   bool has_converged() const {
     const auto running =
         std::count_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.is_running; });
@@ -166,20 +166,20 @@
 
   void send_pending(std::size_t sender) {
     while (const auto outgoing = nodes_[sender].membership->next_message()) {
-      note_datagram_size(sender, outgoing->message);
+      record_datagram_size(sender, outgoing->message);
       const auto receiver = node_by_address_.find(outgoing->recipient);
       if (receiver == node_by_address_.end() || !link_is_up_(sender, receiver->second)) continue;
       const int copies = happens(duplication_rate_) ? 2 : 1;
       for (int i = 0; i < copies; ++i) {
         if (happens(loss_rate_)) continue;
-        const double delay_ms = 1 + 4 * random_share();
+        const double delay_ms = 1 + 4 * random_fraction();
         in_flight_.push(
             {now_ms_ + delay_ms, receiver->second, name(sender), address(sender), outgoing->message});
       }
     }
   }
 
-  void note_datagram_size(std::size_t sender, const SwimMessage& message) {
+  void record_datagram_size(std::size_t sender, const SwimMessage& message) {
     Envelope envelope;
     envelope.fleet = "maps";
     envelope.name = name(sender);
@@ -190,8 +190,8 @@
     largest_datagram_bytes_ = std::max(largest_datagram_bytes_, encode(envelope).size());
   }
 
-  double random_share() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  bool happens(double rate) { return random_share() < rate; }
+  double random_fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  bool happens(double rate) { return random_fraction() < rate; }
 
   LinkFilter all_links_ = [](std::size_t, std::size_t) { return true; };
   LinkFilter link_is_up_ = all_links_;
@@ -207,7 +207,7 @@
 
 }  // namespace
 
-TEST_CASE("membership: all join through one seed, at any loss, and nobody is taken for dead") {
+TEST_CASE("membership: all members join through one seed at up to 20 % loss and none is declared dead") {
   struct Row {
     double loss_rate;
     double duplication_rate;
@@ -230,13 +230,13 @@
   }
 }
 
-TEST_CASE("membership: a death is known to all, a leave sooner, a return under the same name too") {
+TEST_CASE("membership: all members learn of a death and sooner of a leave or a restart under the same name") {
   SimulatedNetwork network(16);
   network.run_for(15000);
   REQUIRE(network.has_converged());
   network.kill(5);
   network.run_for(5000);
-  CHECK(network.count_observers(5, State::dead) == 0);  // suspected first
+  CHECK(network.count_observers(5, State::dead) == 0);  // node 5 is suspected first
   network.run_for(35000);
   CHECK(network.count_observers(5, State::dead) == 15);
   network.start(5, {SimulatedNetwork::address(0)}, 2);
@@ -248,7 +248,8 @@
   CHECK(network.count_observers(6, State::left) == 15);
 }
 
-TEST_CASE("membership: one that returns with an earlier clock raises its incarnation over the one known") {
+TEST_CASE(
+    "membership: a member restarted with a lower incarnation raises it above the one that others know") {
   SimulatedNetwork network(6);
   network.run_for(10000);
   network.kill(3);
@@ -258,7 +259,8 @@
   CHECK(network.has_converged());
 }
 
-TEST_CASE("membership: one that some can't reach directly is reached through others, and stays") {
+TEST_CASE(
+    "membership: a member that some cannot reach directly is probed through others and not declared dead") {
   SimulatedNetwork network(12);
   network.run_for(15000);
   REQUIRE(network.has_converged());
@@ -271,7 +273,9 @@
   CHECK(indirect_probes > 0);
 }
 
-TEST_CASE("membership: one that was paused doubts itself before the others, and refutes its own death") {
+TEST_CASE(
+    "membership: a paused member degrades its local health instead of suspecting others and refutes its "
+    "death") {
   SimulatedNetwork network(10);
   network.run_for(15000);
   REQUIRE(network.has_converged());
@@ -291,7 +295,7 @@
   CHECK(network.membership(4).local_health() == 0);
 }
 
-TEST_CASE("membership: two sides of a partition take each other for dead, and meet again when it heals") {
+TEST_CASE("membership: two sides of a partition declare each other dead and reconnect after it heals") {
   for (const bool one_way : {false, true}) {
     CAPTURE(one_way);
     SimulatedNetwork network(12);
@@ -308,10 +312,10 @@
   }
 }
 
-TEST_CASE("membership: of two processes with one name the later one has it") {
+TEST_CASE("membership: of two processes with the same name the one with the higher incarnation keeps it") {
   SimulatedNetwork network(6);
   network.run_for(10000);
-  // The network names its nodes by their number; this one has the name of another.
+  // Node 6 gets the name of node 3 instead of the one that the network derives from its number.
   const std::string name = SimulatedNetwork::name(3);
   const std::string address = "10.0.0.2:1";
   network.add(6,
@@ -330,7 +334,7 @@
   CHECK(network.membership(3).counters().displacements == 1);
 }
 
-TEST_CASE("membership: an older update never replaces a newer one, whatever the order") {
+TEST_CASE("membership: an older update never replaces a newer one in any order of arrival") {
   std::vector<Member> updates;
   for (std::uint64_t incarnation = 1; incarnation < 4; ++incarnation) {
     for (const State state : {State::alive, State::suspect, State::dead, State::left})
