--- a/tests/suspicion_table_test.cpp
+++ b/tests/suspicion_table_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How long a member is suspected before it is declared dead.
+/// The duration of suspicions, after which a member is declared dead.
 #include "membership/suspicion_table.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE("suspicion table: each confirmation shortens a suspicion, down to its least duration") {
+TEST_CASE("suspicion table: each confirmation shortens a suspicion down to its minimum duration") {
   SuspicionTable table;
   CHECK(table.next_deadline(timing) == std::numeric_limits<double>::infinity());
   table.start(500, "n1", "n2");
@@ -33,11 +33,11 @@
     previous = table.next_deadline(timing);
   }
   CHECK(previous == doctest::Approx(500 + min_duration_ms));
-  CHECK_FALSE(table.confirm("n1", "n6"));  // no more are counted
-  CHECK_FALSE(table.confirm("n7", "n2"));  // not suspected
+  CHECK_FALSE(table.confirm("n1", "n6"));  // the maximum of confirmations is reached
+  CHECK_FALSE(table.confirm("n7", "n2"));  // n7 is not suspected
 }
 
-TEST_CASE("suspicion table: a slow process waits for longer, and one that stood still begins later") {
+TEST_CASE("suspicion table: a slow process extends its deadlines and a paused one postpones them") {
   SuspicionTable table;
   table.start(0, "n1", "n2");
   SuspicionTiming slow = timing;
--- a/tests/update_queue_test.cpp
+++ b/tests/update_queue_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which updates are piggybacked on messages, and how often.
+/// The selection of updates that are piggybacked on messages, and the number of times that each is sent.
 #include "membership/update_queue.h"
 
 #include <doctest/doctest.h>
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("update queue: each update is sent as often as the fleet's size asks for, the latest of a member") {
+TEST_CASE("update queue: the latest update of a member is sent as often as the fleet size requires") {
   MemberTable members = make_table(9);
   UpdateQueue queue;
   queue.enqueue("n1");
@@ -47,7 +47,7 @@
   CHECK(next_message(queue, members).updates.empty());
 }
 
-TEST_CASE("update queue: those that were sent least often go first, and what is left out does not count") {
+TEST_CASE("update queue: the least often sent updates go first and an excluded one is not counted as sent") {
   const MemberTable members = make_table(100);
   UpdateQueue queue;
   for (const auto& [name, member] : members.entries()) queue.enqueue(name);
