--- a/tests/envelope_test.cpp
+++ b/tests/envelope_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The bytes of datagrams: what is read, and what is rejected. Fixed bytes are in fixtures_test.cpp.
+/// The encoding of datagrams: which bytes are decoded and which are rejected. Fixed bytes are in
+/// fixtures_test.cpp.
 #include "cluster/envelope.h"
 
 #include <doctest/doctest.h>
@@ -32,7 +33,7 @@
   return envelope;
 }
 
-/// The error with which bytes are rejected; fails the test if they are not.
+/// Returns the error with which the bytes are rejected; fails the test if they are accepted.
 DecodeError error_of(const std::string& bytes, const std::string& fleet = "maps") {
   const auto decoded = decode_envelope(bytes, fleet);
   REQUIRE(std::holds_alternative<DecodeError>(decoded));
@@ -55,7 +56,7 @@
 
 }  // namespace
 
-TEST_CASE("envelope: what is encoded is read again, and what is rejected") {
+TEST_CASE("envelope: an encoded envelope is decoded again and invalid or foreign bytes are rejected") {
   Envelope envelope = make_envelope();
   envelope.swim_message = {.kind = SwimMessage::Kind::ping_request,
                            .sequence_number = 9,
@@ -81,17 +82,17 @@
   CHECK(error_of(encode(envelope)) == DecodeError::malformed);
 }
 
-TEST_CASE("envelope: random and corrupted bytes are read or rejected, and never more") {
+TEST_CASE("envelope: random and corrupted bytes are decoded and processed or rejected without a crash") {
   std::mt19937_64 random(11);
   Envelope envelope = make_envelope();
   for (int i = 0; i < 12; ++i) {
     envelope.swim_message.updates.push_back(
         {Member::State::alive, std::string("m").append(std::to_string(i)), "127.0.0.1:1", 1});
   }
-  const std::string sound = encode(envelope);
+  const std::string valid_bytes = encode(envelope);
   int read_count = 0;
   for (int i = 0; i < 20000; ++i) {
-    const std::string bytes = i % 2 == 0 ? random_bytes(random) : corrupt(sound, random);
+    const std::string bytes = i % 2 == 0 ? random_bytes(random) : corrupt(valid_bytes, random);
     const auto decoded = decode_envelope(bytes, "maps");
     if (!std::holds_alternative<Envelope>(decoded)) continue;
     ++read_count;
--- a/tests/replay_filter_test.cpp
+++ b/tests/replay_filter_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which datagrams of a sender are taken, told by its incarnation and their sequence numbers.
+/// Which datagrams of a sender are accepted, judged by its incarnation and their sequence numbers.
 #include "cluster/replay_filter.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +25,8 @@
 
 }  // namespace
 
-TEST_CASE("replay filter: what is a duplicate, late or of an earlier incarnation is dropped") {
+TEST_CASE(
+    "replay filter: a datagram that is a duplicate or too late or of an earlier incarnation is dropped") {
   struct Row {
     std::uint64_t incarnation;
     std::uint64_t sequence_number;
