--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A fleet of processes of the program, with faults between them: membership, the leader lease and quotas.
-/// Judged by what each process reports, within a bounded time.
+/// Membership, the leader lease and quotas in a fleet of sidecar processes, with faults between them. Each
+/// check waits a bounded time for the status that the processes report.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -32,7 +32,7 @@
 using indigorill::load_generator::SidecarProcesses;
 namespace emulator = indigorill::emulator;
 
-// Far more than is needed: a machine under load must not change the verdict.
+// Far longer than needed, so that load on the machine does not change the result.
 constexpr double max_wait_ms = 60000;
 
 constexpr std::string_view minimal_scenario = R"(seconds = 1
@@ -75,8 +75,8 @@
   return options;
 }
 
-/// Sidecar processes that reach each other through a proxy, and are asked by their admin addresses. All are
-/// ready when it is made.
+/// Sidecar processes that reach each other through a proxy and are queried at their admin addresses. The
+/// constructor waits until all of them are ready.
 class ProcessCluster {
  public:
   explicit ProcessCluster(std::size_t size, const GossipOptions& options = membership_options()) {
@@ -88,7 +88,7 @@
     processes_ =
         std::make_unique<SidecarProcesses>(event_loop_, INDIGORILL_SIDECAR, addresses_, config, options, 1);
     for (std::size_t i = 0; i < size; ++i) processes_->start(i);
-    for (std::size_t i = 0; i < size; ++i) REQUIRE_MESSAGE(is_ready(i), process(i).last_line());
+    for (std::size_t i = 0; i < size; ++i) REQUIRE_MESSAGE(wait_until_ready(i), process(i).last_line());
   }
 
   std::size_t size() const { return processes_->size(); }
@@ -98,18 +98,19 @@
   bool wait_until(const std::function<bool()>& condition) {
     return processes_->wait_until(condition, max_wait_ms);
   }
-  /// Waits until it serves.
-  bool is_ready(std::size_t i) { return processes_->wait_until_ready(i, max_wait_ms); }
+  /// Waits until the sidecar is ready. Returns false if it exits before or the time runs out.
+  bool wait_until_ready(std::size_t i) { return processes_->wait_until_ready(i, max_wait_ms); }
   bool restart(std::size_t i) {
     processes_->start(i);
-    return is_ready(i);
+    return wait_until_ready(i);
   }
 
   nlohmann::json members_status(std::size_t i) { return processes_->admin_query(i, "/-/members"); }
   nlohmann::json lease_status(std::size_t i) { return members_status(i).at("right"); }
   nlohmann::json quota_status(std::size_t i) { return processes_->admin_query(i, "/-/budgets"); }
 
-  /// How one sees another: "alive", "suspect", "dead", "left"; empty if it doesn't know it.
+  /// The state in which the observer sees another sidecar: "alive", "suspect", "dead", "left"; empty if
+  /// unknown.
   std::string state_seen_by(std::size_t observer, std::size_t i) {
     return processes_->membership_view(observer, i);
   }
@@ -119,8 +120,8 @@
     }
     return true;
   }
-  /// Waits until each sees all others alive.
-  bool converges() {
+  /// Waits until each sidecar sees all others as alive. Returns false if the time runs out.
+  bool wait_until_converged() {
     return wait_until([this] {
       for (std::size_t i = 0; i < size(); ++i) {
         if (!all_see(i, "alive")) return false;
@@ -138,21 +139,21 @@
 
 }  // namespace
 
-TEST_CASE("processes: five join through two seeds, one dies and returns, one leaves") {
+TEST_CASE("processes: five sidecars join through two seeds and all see a death and a restart and a leave") {
   ProcessCluster cluster(5);
-  REQUIRE(cluster.converges());
+  REQUIRE(cluster.wait_until_converged());
   cluster.process(3).kill_and_wait();
   CHECK(cluster.wait_until([&] { return cluster.all_see(3, "dead"); }));
   REQUIRE(cluster.restart(3));
-  CHECK(cluster.converges());
+  CHECK(cluster.wait_until_converged());
   cluster.process(4).send_signal(SIGTERM);
   CHECK(cluster.wait_until([&] { return cluster.process(4).has_exited(); }));
   CHECK(cluster.wait_until([&] { return cluster.all_see(4, "left"); }));
 }
 
 TEST_CASE(
-    "processes: all join despite loss, duplicates and reordering; forged and replayed datagrams are "
-    "dropped") {
+    "processes: all sidecars join despite loss and duplicates and reordering; forged and replayed datagrams "
+    "are dropped") {
   DatagramProxy::NetworkConditions conditions;
   conditions.loss = 0.1;
   conditions.duplicated = 0.2;
@@ -161,20 +162,20 @@
   conditions.late = 0.02;
   conditions.late_by_ms = 200;
   ProcessCluster cluster(4, membership_options(conditions));
-  REQUIRE(cluster.converges());
+  REQUIRE(cluster.wait_until_converged());
   REQUIRE(cluster.wait_until([&] { return cluster.proxy().recent_datagrams_to(1).size() > 8; }));
   const std::vector<std::string> recorded = cluster.proxy().recent_datagrams_to(1);
   cluster.run_for(300);
   for (const std::string& bytes : recorded) cluster.proxy().inject(1, bytes);
   cluster.proxy().inject(1, "what is this?");
   cluster.proxy().inject(1, std::string(1500, 'x'));
-  Envelope of_other_fleet;
-  of_other_fleet.fleet = "another";
-  of_other_fleet.name = "n0";
-  of_other_fleet.address = "127.0.0.1:9";
-  of_other_fleet.incarnation = 1;
-  of_other_fleet.sequence_number = 1;
-  cluster.proxy().inject(1, encode(of_other_fleet));
+  Envelope other_fleet_envelope;
+  other_fleet_envelope.fleet = "another";
+  other_fleet_envelope.name = "n0";
+  other_fleet_envelope.address = "127.0.0.1:9";
+  other_fleet_envelope.incarnation = 1;
+  other_fleet_envelope.sequence_number = 1;
+  cluster.proxy().inject(1, encode(other_fleet_envelope));
   const auto dropped = [&](const char* reason) {
     const auto status = cluster.members_status(1);
     return status.is_object() ? status.at("datagrams").at("dropped").at(reason).get<int>() : 0;
@@ -185,19 +186,21 @@
   }));
 }
 
-TEST_CASE("processes: one stopped for long is taken for dead, resumes, and takes nobody for dead itself") {
+TEST_CASE(
+    "processes: a sidecar stopped for long is declared dead and after it resumes all see each other as "
+    "alive") {
   ProcessCluster cluster(4);
-  REQUIRE(cluster.converges());
+  REQUIRE(cluster.wait_until_converged());
   cluster.process(2).send_signal(SIGSTOP);
   CHECK(cluster.wait_until([&] { return cluster.all_see(2, "dead"); }));
   cluster.process(2).send_signal(SIGCONT);
-  CHECK(cluster.converges());
+  CHECK(cluster.wait_until_converged());
   CHECK(cluster.members_status(2).at("probes").at("slept").get<int>() >= 1);
 }
 
-TEST_CASE("processes: two sides of a partition meet again; one broken link is no reason for a death") {
+TEST_CASE("processes: two sides of a healed partition reconnect; one broken link does not lead to a death") {
   ProcessCluster cluster(6);
-  REQUIRE(cluster.converges());
+  REQUIRE(cluster.wait_until_converged());
   const auto set_partitioned = [&](bool is_partitioned) {
     for (std::size_t a = 0; a < 6; ++a) {
       for (std::size_t b = 0; b < 6; ++b) {
@@ -209,8 +212,8 @@
   CHECK(cluster.wait_until(
       [&] { return cluster.state_seen_by(0, 5) == "dead" && cluster.state_seen_by(5, 0) == "dead"; }));
   set_partitioned(false);
-  CHECK(cluster.converges());
-  // Its pings to the other are lost, and its answers; helpers probe on behalf of both.
+  CHECK(cluster.wait_until_converged());
+  // Pings and replies from sidecar 0 to sidecar 1 are lost; other sidecars probe on behalf of both.
   cluster.proxy().set_partitioned(0, 1, true);
   cluster.run_for(5000);
   CHECK(cluster.state_seen_by(1, 0) != "dead");
@@ -222,7 +225,8 @@
 constexpr int no_leader = -1;
 constexpr int several_leaders = -2;
 
-/// Who reports that it holds the lease; each is asked at a moment of its own.
+/// Index of the sidecar that reports that it holds the lease, or no_leader or several_leaders. The sidecars
+/// are queried one after another, not at the same time.
 int current_leader(ProcessCluster& cluster) {
   int leader = no_leader;
   for (std::size_t i = 0; i < cluster.size(); ++i) {
@@ -234,7 +238,7 @@
 }
 
 /// Waits for a single leader other than `previous`, and fails the test if there is none.
-std::size_t next_leader(ProcessCluster& cluster, int previous = no_leader) {
+std::size_t wait_for_leader(ProcessCluster& cluster, int previous = no_leader) {
   int leader = no_leader;
   REQUIRE(cluster.wait_until([&] {
     leader = current_leader(cluster);
@@ -243,15 +247,17 @@
   return static_cast<std::size_t>(leader);
 }
 
-std::size_t next_leader_after(ProcessCluster& cluster, std::size_t previous) {
-  return next_leader(cluster, static_cast<int>(previous));
+std::size_t wait_for_leader_after(ProcessCluster& cluster, std::size_t previous) {
+  return wait_for_leader(cluster, static_cast<int>(previous));
 }
 
 }  // namespace
 
-TEST_CASE("processes: there is one leader; once stopped, killed, cut off or ended, another one leads") {
+TEST_CASE(
+    "processes: one leader is elected and another one after it is stopped or killed or isolated or "
+    "terminated") {
   ProcessCluster cluster(5, election_options(3));
-  std::size_t leader = next_leader(cluster);
+  std::size_t leader = wait_for_leader(cluster);
   const std::string leader_name = "n" + std::to_string(leader);
   CHECK(cluster.wait_until([&] {
     for (std::size_t i = 0; i < 3; ++i) {
@@ -262,35 +268,36 @@
 
   std::size_t previous = leader;
   cluster.process(previous).send_signal(SIGSTOP);
-  leader = next_leader_after(cluster, previous);
+  leader = wait_for_leader_after(cluster, previous);
   cluster.process(previous).send_signal(SIGCONT);
-  // It stood still for longer than its lease: the first thing that it reports is that the lease has ended.
+  // It was stopped for longer than its lease, so already its first report says that it does not hold the
+  // lease.
   CHECK(cluster.lease_status(previous).at("holds") == false);
 
   previous = leader;
   cluster.process(previous).kill_and_wait();
-  next_leader_after(cluster, previous);
+  wait_for_leader_after(cluster, previous);
   REQUIRE(cluster.restart(previous));
   CHECK(cluster.lease_status(previous).at("holds") == false);
-  // It has no vote until all that it might have promised has ended.
+  // It abstains until every lease that it may have accepted before its restart has ended.
   CHECK(cluster.wait_until([&] { return cluster.lease_status(previous).at("abstains") == false; }));
-  REQUIRE(cluster.converges());
+  REQUIRE(cluster.wait_until_converged());
 
-  previous = next_leader(cluster);
+  previous = wait_for_leader(cluster);
   for (std::size_t i = 0; i < cluster.size(); ++i) {
     if (i == previous) continue;
     cluster.proxy().set_partitioned(previous, i, true);
     cluster.proxy().set_partitioned(i, previous, true);
   }
-  next_leader_after(cluster, previous);
+  wait_for_leader_after(cluster, previous);
   for (std::size_t a = 0; a < cluster.size(); ++a) {
     for (std::size_t b = 0; b < cluster.size(); ++b) cluster.proxy().set_partitioned(a, b, false);
   }
-  REQUIRE(cluster.converges());
+  REQUIRE(cluster.wait_until_converged());
 
-  previous = next_leader(cluster);
+  previous = wait_for_leader(cluster);
   cluster.process(previous).send_signal(SIGTERM);
-  next_leader_after(cluster, previous);
+  wait_for_leader_after(cluster, previous);
 }
 
 namespace {
@@ -307,16 +314,17 @@
 
 }  // namespace
 
-TEST_CASE("processes: a budget is allocated to those that are there, and anew when one dies") {
+TEST_CASE("processes: a budget is allocated to all live sidecars and reallocated after one of them dies") {
   ProcessCluster cluster(5, quota_options(5));
-  // All of it: what is not reserved for guaranteed minimums, and these.
+  // The whole budget: the guaranteed minimums and the rest.
   REQUIRE(cluster.wait_until([&] { return sum_over_fleet(cluster, "own") == 40; }));
   cluster.process(4).kill_and_wait();
   REQUIRE(cluster.wait_until([&] { return sum_over_fleet(cluster, "own") == 38; }));
   CHECK(cluster.quota_status(0).at("budgets").at(0).at("whole") == 40);
 }
 
-TEST_CASE("processes: of more sidecars than allowed one gets no quota, reports it and serves") {
+TEST_CASE(
+    "processes: the sidecar beyond the allowed number gets no quota and reports this and still serves") {
   ProcessCluster cluster(5, quota_options(4));
   const auto count_rejected = [&] {
     int count = 0;
@@ -325,7 +333,7 @@
       if (!status.is_object() || status.at("full") != true) continue;
       ++count;
       CHECK(status.at("budgets").at(0).at("own") == 0);
-      CHECK(cluster.is_ready(i));
+      CHECK(cluster.wait_until_ready(i));
     }
     return count;
   };
@@ -390,13 +398,15 @@
 
 }  // namespace
 
-TEST_CASE("processes: a quota of retries holds while processes are stopped, killed, ended and cut off") {
+TEST_CASE(
+    "processes: the retry quota is kept while sidecars are stopped or restarted or terminated or "
+    "partitioned") {
   LoadRunConfig config;
   config.scenario = emulator::decode_scenario(toml::parse(fleet_retry_quota_scenario));
   config.sidecar_command = INDIGORILL_SIDECAR;
   const LoadRunResult result = run_scenario(config);
   CHECK(result.budget_violations == 0);
-  // A machine under load may keep an answer past its time, which is no matter of budgets.
+  // On a loaded machine an answer may come after its deadline (rule 1), which does not concern budgets.
   for (const std::string& violation : result.violations) {
     CHECK_MESSAGE(violation.starts_with("rule 1"), violation);
   }
