--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What must not grow with the fleet: work, memory and bytes of one instance, by counts and slopes on the
-/// production code.
+/// The work and memory of one instance must not grow with the fleet beyond a logarithm. The tests count
+/// steps and stored grants in the production code; they measure no time.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -13,9 +13,10 @@
 namespace indigorill {
 namespace {
 
-constexpr Milliseconds endless_lease = 1e18;
+constexpr Milliseconds distant_lease_expiry = 1e18;
 
-/// An allocator and its clients without a network: all ask in turn, three times in a grant's duration.
+/// An allocator and its clients without a network. All clients send requests in turn, three times in the
+/// duration of a grant.
 struct DirectFleet {
   QuotaConfig config;
   QuotaAllocator allocator;
@@ -33,7 +34,8 @@
     allocator.start_term(now, now);
   }
 
-  /// Uneven: one in a hundred demands a hundred times as much.
+  /// The demands are uneven: one client in a hundred demands 100 units, a hundred times the mean of the
+  /// others.
   void run_rounds(int rounds) {
     const Milliseconds pause = config.grant_duration_ms / 3 / static_cast<double>(clients.size());
     for (int round = 0; round < rounds; ++round) {
@@ -54,15 +56,17 @@
   void run_client(QuotaClient& client, std::size_t demand) {
     for (std::size_t unit = 0; unit < demand; ++unit) client.record_demand(now, 0);
     const QuotaRequest request = client.make_request(now);
-    client.on_grant(now, allocator.handle_request(now, endless_lease, request));
+    client.on_grant(now, allocator.handle_request(now, distant_lease_expiry, request));
   }
 };
 
 }  // namespace
 
-TEST_CASE("scale: the work of one answer of the allocator grows by the logarithm of the holders at most") {
-  // A balanced tree's search looks at 2 log2(n + 1) nodes at most; a request takes two searches, a review of
-  // its own holder and one for each grant that ended. Going over all would be n.
+TEST_CASE(
+    "scale: the steps of the allocator per request grow at most with the logarithm of the number of "
+    "holders") {
+  // A search in a balanced tree visits at most 2 log2(n + 1) nodes. A request takes two searches, a review of
+  // its own holder and one review for each grant that ended. A pass over all holders would take n steps.
   for (const std::size_t holders : {50U, 200U, 800U, 3200U, 12800U}) {
     CAPTURE(holders);
     const auto size = static_cast<double>(holders);
@@ -73,7 +77,7 @@
     fleet.run_rounds(4);
     const double steps_per_request =
         static_cast<double>(fleet.allocator.step_count() - steps_before) / (4 * size);
-    MESSAGE(holders << " holders: " << steps_per_request << " steps an answer");
+    MESSAGE(holders << " holders: " << steps_per_request << " steps per request");
     CHECK(steps_per_request < 2 * 2 * std::log2(size + 1) + 4);
     CHECK(fleet.total_allowance() <= total);
     CHECK(fleet.total_allowance() >= 0.9 * total);
@@ -81,7 +85,7 @@
 }
 
 TEST_CASE(
-    "scale: what the allocator stores for each holder grows neither with the fleet nor with its requests") {
+    "scale: the number of grants stored per holder grows neither with the fleet nor with the requests") {
   for (const std::size_t holders : {50U, 200U, 800U, 3200U}) {
     CAPTURE(holders);
     const auto size = static_cast<double>(holders);
@@ -89,12 +93,12 @@
     fleet.run_rounds(12);
     CHECK(static_cast<double>(fleet.allocator.stored_grant_count()) / size < 8);
   }
-  // A client that sends requests without a pause and uses no grant.
+  // A client sends requests without a pause and uses none of its grants.
   DirectFleet fleet(2, 100);
-  fleet.now += 5000;  // past what earlier allocators may have granted
+  fleet.now += 5000;  // after the end of any grant of earlier allocators
   for (std::uint64_t number = 1; number <= 100000; ++number) {
     const QuotaRequest request{.session = 1, .request_number = number, .demands = {5}};
-    fleet.allocator.handle_request(fleet.now, endless_lease, request);
+    fleet.allocator.handle_request(fleet.now, distant_lease_expiry, request);
   }
   CHECK(fleet.allocator.stored_grant_count() <= 32);
   CHECK(fleet.allocator.max_in_use(fleet.now, 0) >= 5);
@@ -105,15 +109,16 @@
 
 using Demand = DemandIndex::Demand;
 
-/// What each has after progressive filling, in the order of demands, and the units left over.
+/// The result of progressive filling: the share of each demand, in the order of demands, and the units left
+/// over.
 struct FilledShares {
   std::vector<double> shares;
   double left_over = 0;
-  std::size_t satisfied = 0;  // the first so many have what they demand
+  std::size_t satisfied = 0;  // number of demands that are met; they come first
 };
 
-/// A unit at a time to all that still demand one, as long as there is one for each; if all have what they
-/// demand, to all of them.
+/// Gives one unit at a time to each holder whose demand is not met, as long as there is one for each of them.
+/// If all demands are met, gives units to all holders in the same way.
 FilledShares fill_progressively(const std::vector<Demand>& demands, double total) {
   const std::size_t size = demands.size();
   FilledShares filled{.shares = std::vector<double>(size), .left_over = total};
@@ -133,7 +138,8 @@
   return filled;
 }
 
-/// Adds each demand, the sessions ascending; each is changed once, as demands are.
+/// Adds a random demand for each holder, in ascending order of sessions. Each demand is changed once, as in
+/// production.
 std::vector<Demand> add_random_demands(DemandIndex& index, std::size_t size, double max_units,
                                        std::mt19937_64& random) {
   std::vector<Demand> demands;
@@ -149,7 +155,7 @@
 
 }  // namespace
 
-TEST_CASE("scale: the share by prefix sums is the one by progressive filling") {
+TEST_CASE("scale: the fair share by prefix sums equals the one by progressive filling") {
   constexpr std::size_t max_total_per_holder = 60;
   std::mt19937_64 random(3);
   for (int trial = 0; trial < 300; ++trial) {
@@ -160,25 +166,26 @@
     std::sort(demands.begin(), demands.end());
     const double total = static_cast<double>(random() % (max_total_per_holder * size + 1));
     const FilledShares filled = fill_progressively(demands, total);
-    std::vector<double> odd_units(size);  // over all turns
+    std::vector<double> extra_units(size);  // units beyond the filled share, over all turns
     for (std::size_t turn = 0; turn < size; ++turn) {
       double sum = 0;
       for (std::size_t i = 0; i < size; ++i) {
         const double share = index.fair_share(demands[i], total, turn);
         CHECK(share >= filled.shares[i]);
         CHECK(share <= filled.shares[i] + 1);
-        odd_units[i] += share - filled.shares[i];
+        extra_units[i] += share - filled.shares[i];
         sum += share;
       }
       CHECK(sum == total);
     }
-    // Those among whom the odd units go round have each as many as the others, within one.
+    // The units left over rotate among the holders whose demands are not met, or among all holders if all
+    // demands are met. Over all turns, the counts of neighbours differ by at most left_over.
     for (std::size_t i = 0; i + 1 < size; ++i) {
       const bool is_satisfied = filled.shares[i] >= demands[i].units && filled.satisfied < size;
       if (is_satisfied)
-        CHECK(odd_units[i] == 0);
+        CHECK(extra_units[i] == 0);
       else
-        CHECK(std::abs(odd_units[i] - odd_units[i + 1]) <= filled.left_over);
+        CHECK(std::abs(extra_units[i] - extra_units[i + 1]) <= filled.left_over);
     }
   }
 }
--- a/tests/support/fleet_simulation.h
+++ b/tests/support/fleet_simulation.h
@@ -1,4 +1,5 @@
-/// For the tests: a fleet of load balancers on a clock that is stepped, and endpoints in slow start.
+/// \file
+/// Test support: a simulated fleet of load balancers on a stepped clock, with endpoints in slow start.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +18,7 @@
   const char* name;
   int sidecar_count;
   double rpcs_per_s;  // at each sidecar
-  bool in_bursts;     // three seconds of little, one of twice the mean
+  bool in_bursts;     // cycles of three seconds at 2/3 of the mean and one second at twice the mean
 
   double rate_per_s(double now_ms) const {
     if (!in_bursts) return rpcs_per_s;
@@ -26,7 +27,8 @@
   }
 };
 
-/// Sidecars with a clock that is stepped; warm endpoints from the start, slow-starting ones that join later.
+/// Sidecars on a stepped clock. The warm endpoints are there from the start, the slow-starting ones join
+/// later.
 struct FleetSimulation {
   static constexpr int warm_count = 16;
   static constexpr int slow_start_count = 4;
@@ -49,7 +51,7 @@
   std::vector<Endpoint> endpoints = make_endpoints('a', static_cast<char>('a' + warm_count - 1), "there");
   std::mt19937 random{7};
   std::vector<RunningAttempt> running;
-  // When attempts were sent to each endpoint in slow start.
+  // Times at which attempts were sent to each endpoint in slow start.
   std::map<std::string, std::vector<double>> sent_ms;
 
   explicit FleetSimulation(const FleetTraffic& fleet_traffic)
@@ -106,8 +108,9 @@
     });
   }
 
-  // The highest ratio of attempts within a slow-start burst's time to what is allowed there. An endpoint can
-  // serve what is sent to the mean one; bursts of traffic make it no stronger.
+  // The highest ratio of the attempts within slow_start_burst_ms to the number that is allowed in that time.
+  // The allowed number depends on the mean rate per endpoint, since bursts of traffic do not raise the
+  // capacity of an endpoint.
   double worst_overload(const std::vector<double>& times_ms) const {
     const double mean_attempts = traffic.sidecar_count * traffic.rpcs_per_s / 1000 /
                                  (warm_count + slow_start_count) * config.slow_start_burst_ms;
