--- a/src/load_balancer_state/attempt_outcomes.h
+++ b/src/load_balancer_state/attempt_outcomes.h
@@ -1,4 +1,4 @@
-/// What the outcome of an attempt says by its definition.
+/// Facts that follow from the definition of an attempt's outcome.
 #pragma once
 
 #include "indigorill/load_balancer.h"
@@ -11,7 +11,7 @@
          outcome == AttemptOutcome::client_error || outcome == AttemptOutcome::withdrawn;
 }
 
-/// True if the outcome says anything of the endpoint.
+/// True if the outcome is evidence about the endpoint.
 constexpr bool concerns_endpoint(AttemptOutcome outcome) {
   return outcome != AttemptOutcome::cancelled && outcome != AttemptOutcome::client_error &&
          outcome != AttemptOutcome::withdrawn;
--- a/src/load_balancer_state/balancer_state.h
+++ b/src/load_balancer_state/balancer_state.h
@@ -1,4 +1,4 @@
-/// All that a load balancer knows, as plain data. What follows from it is decided in src/load_balancer/.
+/// The whole state of a load balancer, as plain data. The decisions based on it are in src/load_balancer/.
 #pragma once
 
 #include <algorithm>
@@ -22,7 +22,7 @@
   double next_at_ms = never;
   double complete_sent_at_ms = never;
   double mean_interval_ms = 100;
-  double budget = 1;  ///< in RPCs' worth, as the message cost is
+  double budget = 1;  ///< in the unit of gossip_message_cost: the value of one RPC
   double arrivals_since_last = 0;
   bool last_had_content = false;
   std::uint32_t sequence = 0;
@@ -42,30 +42,30 @@
   }
 };
 
-/// Retries that may still be sent.
+/// Bounds on the retries that may still be sent.
 struct RetryBudget {
   double tokens = 5;
-  double success_rate = 0.5;  ///< of recent retries
-  double fleet_quota = 1e18;  ///< left to this sidecar by all sidecars together
+  double success_rate = 0.5;  ///< smoothed success rate of recent retries
+  double fleet_quota = 1e18;  ///< retries that the fleet's quota leaves to this sidecar
 };
 
 /// The host's timers.
 struct TimerState {
-  double due_timer_at_ms = never;  ///< of the due timer that is set
+  double due_timer_at_ms = never;  ///< when the due timer that is set fires
   bool maintenance_timer_wanted = true;
 };
 
 /// State of one load balancer. Not copyable: RPCs and endpoints point into it.
 struct BalancerState {
   LoadBalancerConfig config;
-  MethodConfig unknown_method;  ///< of an RPC of no configured method
+  MethodConfig unknown_method;  ///< stands in for a method that is not configured
   double max_priority_weight = 0;
   std::size_t local_zone_index = 0;
   std::knuth_b random_engine;
   double now_ms;
 
   EndpointTable endpoints;
-  double total_slow_start_weight = 1;  ///< of the ready endpoints
+  double total_slow_start_weight = 1;  ///< sum over the ready endpoints
   std::deque<TrackedEndpoint*> pending_probes;
   RpcTable rpcs;
   std::size_t arrival_count = 0;
--- a/src/load_balancer_state/decisions.h
+++ b/src/load_balancer_state/decisions.h
@@ -1,4 +1,4 @@
-/// Decisions as the host gets them, built from what they concern.
+/// Functions that build the host's decisions from the attempt, endpoint, message or timer concerned.
 #pragma once
 
 #include <cstdint>
