--- a/src/load_balancer_state/candidate_set.h
+++ b/src/load_balancer_state/candidate_set.h
@@ -1,5 +1,5 @@
-/// The endpoints that an RPC may be sent to now, with the weights of the draw among them, and what was
-/// estimated of them. Plain data; decides nothing.
+/// The endpoints that an RPC may be sent to now, with their weights in the draw and the estimates behind
+/// these. Plain data; decides nothing.
 #pragma once
 
 #include <algorithm>
@@ -13,15 +13,15 @@
 struct Candidate {
   TrackedEndpoint* endpoint;
   double slow_start_weight;  ///< 1 for an endpoint that is warmed up
-  double weight = 0;         ///< of the draw; the best has 1 after scoring
+  double weight = 0;         ///< weight in the draw; after scoring the best candidate has 1
   bool meets_objective = false;
 };
 
 struct CandidateSet {
   std::vector<Candidate> candidates;
-  double in_flight = 0;            ///< our attempts at all candidates
+  double in_flight = 0;            ///< this sidecar's attempts at all candidates
   double report_coverage = 0;      ///< mean confidence in the last load reports, 0 to 1
-  bool is_trial_admitted = false;  ///< admitted though no candidate may meet the objective
+  bool is_trial_admitted = false;  ///< the RPC may be sent even if no candidate meets the objective
 
   bool is_empty() const { return candidates.empty(); }
   double total_weight() const {
@@ -29,7 +29,7 @@
     for (const Candidate& candidate : candidates) total += candidate.weight;
     return total;
   }
-  /// True if the RPC may be sent: a candidate that may be drawn answers in time, or it is a trial.
+  /// True if the RPC may be sent: a candidate that may be drawn would answer in time, or it is a trial.
   bool meets_deadline() const {
     return is_trial_admitted || std::any_of(candidates.begin(), candidates.end(), [](const Candidate& c) {
              return c.meets_objective && c.weight > 0;
@@ -37,10 +37,10 @@
   }
 };
 
-/// What is expected of one candidate at the time of scoring.
+/// Estimates for one candidate at the time of scoring.
 struct EndpointEstimate {
-  double recent_failures;  ///< of our own attempts
-  double peer_failures;    ///< that other sidecars saw lately
+  double recent_failures;  ///< failures of this sidecar's attempts
+  double peer_failures;    ///< failures that other sidecars saw lately
   double log2_reputation;
   double log2_recency;
   double service_time_ms;
@@ -50,19 +50,19 @@
   double work_ahead_ms() const { return service_time_ms * queue_depth; }
 };
 
-/// What scoring one RPC has in common for all its candidates.
+/// Values that are the same for all candidates while one RPC is scored.
 struct ScoringContext {
-  double remaining_ms;     ///< until a response is worth less, or nothing
+  double remaining_ms;     ///< time until a response loses value, in part or completely
   double patience;         ///< share of the remaining time that the RPC may wait in a queue
-  double max_queue_depth;  ///< far_future where other sidecars' load is not known
+  double max_queue_depth;  ///< in RPCs; far_future if the load of other sidecars is not known
   bool is_service_time_guessed;
-  std::vector<std::uint64_t> affinity_scores;  ///< best of each zone; empty without key affinity
+  std::vector<std::uint64_t> affinity_scores;  ///< best score of each zone; empty without key affinity
   double log2_endpoint_count = 0;
-  double unsent_log2_weight = 0;  ///< of an endpoint that nothing was sent to
-  double fill_level_ms = 0;       ///< wait up to which other sidecars have filled idle endpoints
+  double unsent_log2_weight = 0;  ///< for endpoints to which nothing was sent yet
+  double fill_level_ms = 0;       ///< wait to which unreported RPCs of other sidecars fill idle endpoints
 };
 
-/// A candidate whose probability is bounded as it warms up.
+/// A candidate whose probability is bounded because it is warming up.
 struct LimitedCandidate {
   std::size_t position;
   double probability;
@@ -71,8 +71,8 @@
 
 struct LimitedCandidates {
   std::vector<LimitedCandidate> entries;
-  double excess = 0;             ///< probability beyond the bounds
-  double best_other_weight = 0;  ///< of candidates without a bound
+  double excess = 0;             ///< sum of the probabilities above the bounds
+  double best_other_weight = 0;  ///< best weight among candidates without a bound
 };
 
 }  // namespace indigorill
--- a/src/load_balancer_state/decay.h
+++ b/src/load_balancer_state/decay.h
@@ -5,10 +5,10 @@
 
 namespace indigorill {
 
-/// Age, in half-lives, after which nothing is left of an observation.
+/// Age, in half-lives, above which an observation no longer counts.
 constexpr double max_half_lives = 16;
 
-/// What is left of an observation, 0 to 1, after its age in half-lives.
+/// The weight of an observation, 0 to 1, by its age in half-lives.
 inline double decayed_share(double half_lives) {
   return half_lives > max_half_lives ? 0 : std::exp2(-half_lives);
 }
--- a/src/load_balancer_state/hashing.h
+++ b/src/load_balancer_state/hashing.h
@@ -1,4 +1,4 @@
-/// Bit mixing for seeds, for the schedule's jitter and for rendezvous hashing.
+/// Hash functions for seeds, for the jitter of schedules and for rendezvous hashing.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
   return hash;
 }
 
-/// The endpoint of the highest score is the one that the key prefers.
+/// Score of an endpoint for a routing key; the key prefers the endpoint with the highest score.
 constexpr std::uint64_t rendezvous_score(std::uint64_t key, std::uint64_t id_hash) {
   return splitmix64_finalize(id_hash ^ splitmix64_finalize(key));
 }
