--- a/src/load_balancer_state/endpoint_table.h
+++ b/src/load_balancer_state/endpoint_table.h
@@ -1,4 +1,4 @@
-/// The endpoints that a load balancer knows, by id and in the order in which it met them.
+/// The endpoints that a load balancer knows, by id and in the order in which they were added.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,10 @@
 /// Owns all tracked endpoints; references stay valid until the endpoint is erased.
 class EndpointTable {
  public:
-  /// Null if there is none of this id.
+  /// Null if no endpoint has this id.
   TrackedEndpoint* find(std::string_view id) const;
   TrackedEndpoint& find_or_add(const std::string& id);
-  /// Takes what the endpoint list says of one endpoint.
+  /// Applies one entry of the endpoint list, adding the endpoint if it is new.
   void update(const Endpoint& listed);
   void erase_if(const std::function<bool(const TrackedEndpoint&)>& is_obsolete);
 
@@ -33,9 +33,9 @@
   /// Recomputes which endpoints are ready.
   void refresh_ready();
 
-  /// The load to gossip of all endpoints, or of those where it changed since the last call.
+  /// The loads to gossip: those of all endpoints, or only those that changed since the last call.
   std::vector<LoadGossip::EndpointLoad> take_loads(bool is_complete);
-  /// For each zone, the best rendezvous score of its ready endpoints for a key.
+  /// The best rendezvous score for a key among the ready endpoints of each zone.
   std::vector<std::uint64_t> best_scores_by_zone(std::uint64_t key) const;
 
   const std::vector<TrackedEndpoint*>& known() const { return known_; }
--- a/src/load_balancer_state/tracked_endpoint.h
+++ b/src/load_balancer_state/tracked_endpoint.h
@@ -1,4 +1,4 @@
-/// What a load balancer remembers of one endpoint. Plain data; decides nothing.
+/// The state that a load balancer keeps for one endpoint. Plain data; decides nothing.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 constexpr double never = -1e18;
 constexpr double far_future = 1e18;
 
-/// What is learned over all endpoints of one machine type.
+/// Statistics over all endpoints of one machine type.
 struct MachineTypeStats {
   double service_time_ms = 0;
   double response_count = 0;
@@ -41,32 +41,32 @@
   MachineTypeStats* machine_type = nullptr;  ///< owned by the EndpointTable
 
   bool is_listed = false;           ///< ready in the endpoint list
-  bool ejected_manually = false;    ///< by an operator, whatever the list says
+  bool ejected_manually = false;    ///< ejected by an operator, whatever the endpoint list says
   bool is_ready = false;            ///< listed and not ejected
   bool connection_limited = false;  ///< no new connection may be opened
   double started_at_ms = never;
   double reinstated_at_ms = never;  ///< when an operator ended the ejection
 
-  double in_flight = 0;  ///< our attempts that still occupy the endpoint
+  double in_flight = 0;  ///< this sidecar's attempts that still occupy the endpoint
   std::size_t idle_connections = 0;
   double last_sent_at_ms = never;
-  double rejected_at_ms = never;    ///< when it last rejected an attempt
-  double probe_sent_at_ms = never;  ///< of a health check without an answer so far
+  double rejected_at_ms = never;    ///< time of its last rejection of an attempt
+  double probe_sent_at_ms = never;  ///< when a health check was sent that is still unanswered
 
-  double others_in_flight = 0;  ///< RPCs of other sidecars by its last load report
+  double others_in_flight = 0;  ///< RPCs of other sidecars, from its last load report
   double reported_at_ms = never;
-  double service_time_ms = 0;  ///< time for each RPC in flight, smoothed
+  double service_time_ms = 0;  ///< duration divided by queue depth, smoothed
   double service_time_at_ms = never;
   std::vector<OutcomeSample> recent_outcomes;  ///< oldest first
 
-  double slow_start_tokens = 1;  ///< attempts that it may be sent while it warms up
+  double slow_start_tokens = 1;  ///< attempts that may be sent to it while it warms up
   double slow_start_tokens_at_ms = never;
 
-  double failures_to_gossip = 0;  ///< our failures there since the last gossip
+  double failures_to_gossip = 0;  ///< failed attempts of this sidecar since its last gossip
   double last_gossiped_in_flight = 0;
 
-  /// Another start than the one known means that another process runs under the id: what the old one did
-  /// says nothing of it.
+  /// A start time that differs from the known one means that a new process runs under the id; observations of
+  /// the old process are dropped.
   void set_start_time(double start_ms) {
     if (started_at_ms != start_ms && last_sent_at_ms != never) {
       recent_outcomes.clear();
@@ -79,7 +79,8 @@
     }
     started_at_ms = start_ms;
   }
-  /// Operators restart what they eject: once reinstated it warms up as if it had started then.
+  /// Operators restart the endpoints that they eject, so a reinstated one warms up as if it had started at
+  /// that time.
   void reinstate(double at_ms) {
     reinstated_at_ms = at_ms;
     set_start_time(std::max(started_at_ms, at_ms));
