--- a/src/load_balancer_state/rpc_table.h
+++ b/src/load_balancer_state/rpc_table.h
@@ -1,4 +1,4 @@
-/// The RPCs in hand: by id, in the queue of those to be decided on, and by due time.
+/// The RPCs in progress: by id, in the queue of those that need a decision, and by due time.
 #pragma once
 
 #include <cstddef>
@@ -18,24 +18,24 @@
 /// Owns all tracked RPCs; references stay valid until erase_if_finished() erases the RPC.
 class RpcTable {
  public:
-  /// Null if there is none of this id.
+  /// Null if no RPC has this id.
   TrackedRpc* find(std::string_view id) const;
-  /// Null if there is none, or if it has ended.
+  /// Null if the attempt does not exist or has ended.
   Attempt* find_outstanding_attempt(std::string_view rpc_id, int attempt_index) const;
   TrackedRpc& add(std::unique_ptr<TrackedRpc> rpc);
-  /// Erases an RPC that is concluded and has no attempt outstanding.
+  /// Erases the RPC if it is concluded and has no attempt outstanding.
   void erase_if_finished(std::string_view id);
 
-  /// Queues an RPC to be decided on, unless it is queued already or concluded.
+  /// Queues an RPC for a decision, unless it is queued already or concluded.
   void enqueue(TrackedRpc& rpc);
   bool has_queued() const { return !queue_.empty(); }
   TrackedRpc& pop_queued();
 
-  /// When the RPC has to be decided on anew; `never` for no such time.
+  /// Sets the time at which the RPC needs its next decision; `never` for none.
   void set_due_time(TrackedRpc& rpc, double at_ms);
   /// Queues all RPCs that are due, in order of due time, then of arrival.
   void enqueue_due(double now_ms);
-  /// Due time of the next RPC, far_future if there is none.
+  /// Earliest due time of all RPCs, far_future if none has one.
   double next_due_ms() const;
 
   void await_probes(TrackedRpc& rpc) { awaiting_probes_.push_back(&rpc); }
@@ -43,10 +43,10 @@
   void enqueue_awaiting_probes();
 
   void cancel_outstanding_attempts(TrackedRpc& rpc);
-  /// Next attempt to be cancelled that is still outstanding, null if there is none.
+  /// Removes and returns the next attempt to be cancelled that is still outstanding; null if there is none.
   const Attempt* pop_cancellation();
 
-  /// All endpoints that an attempt or a probe of an RPC in hand refers to.
+  /// All endpoints to which an attempt or a probe target of an RPC in progress refers.
   std::set<const TrackedEndpoint*> referenced_endpoints() const;
 
  private:
--- a/src/load_balancer_state/tracked_rpc.h
+++ b/src/load_balancer_state/tracked_rpc.h
@@ -1,4 +1,4 @@
-/// What a load balancer remembers of one RPC and its attempts. Plain data; decides nothing.
+/// The state that a load balancer keeps for one RPC and its attempts. Plain data; decides nothing.
 #pragma once
 
 #include <algorithm>
@@ -27,7 +27,7 @@
   bool may_have_run = true;
   bool is_released = false;  ///< no longer counted as in flight at its endpoint
 
-  /// From here the attempt keeps no one waiting at its endpoint.
+  /// Called when the attempt no longer delays other RPCs at its endpoint.
   void release_endpoint() {
     if (is_released) return;
     is_released = true;
@@ -41,21 +41,21 @@
   const MethodConfig* method = nullptr;
   std::size_t arrival_index = 0;  ///< breaks ties between equal due times
   double deadline_ms = 0;
-  double objective_at_ms = 0;  ///< when the latency objective is over
+  double objective_at_ms = 0;  ///< time at which the latency objective ends
   std::optional<std::uint64_t> routing_key;
-  double quota_factor = 1;  ///< on the priority weight, for what exceeds a tenant's quota
+  double quota_factor = 1;  ///< factor on the priority weight, for RPCs over a tenant's quota
 
-  std::deque<Attempt> attempts;  // a deque, as cancellations point to its elements
-  int withdrawn_count = 0;       ///< attempts that the host took back unsent
+  std::deque<Attempt> attempts;  // a deque, because cancellations point to its elements
+  int withdrawn_count = 0;       ///< attempts that the host withdrew unsent
 
-  double probe_count = never;  ///< how many health checks it is worth
+  double probe_count = never;  ///< number of health checks that the RPC is worth
   std::vector<TrackedEndpoint*> probe_targets;
-  std::vector<TrackedEndpoint*> probed_endpoints;  ///< the first of the targets
+  std::vector<TrackedEndpoint*> probed_endpoints;  ///< the targets processed so far, in the same order
   double probe_wait_until_ms = never;
 
   double due_at_ms = never;
-  bool is_concluded = false;  ///< the client has its answer, or left
-  bool is_streaming = false;  ///< bytes that can't be sent again are gone
+  bool is_concluded = false;  ///< the client has its answer or has disconnected
+  bool is_streaming = false;  ///< bytes that can't be sent again were forwarded
   bool is_queued = false;
 
   int outstanding_count() const {
@@ -63,7 +63,7 @@
                                           [](const Attempt& attempt) { return attempt.is_outstanding; }));
   }
   int attempt_count() const { return static_cast<int>(attempts.size()) - withdrawn_count; }
-  /// The first attempt that may have run at its endpoint, or may still do; null if there is none.
+  /// The first attempt that may have been executed, or may still be; null if there is none.
   const Attempt* first_possibly_executed() const {
     for (const Attempt& attempt : attempts)
       if (attempt.is_outstanding || attempt.may_have_run) return &attempt;
