--- a/src/load_balancer_state/traffic_statistics.cpp
+++ b/src/load_balancer_state/traffic_statistics.cpp
@@ -7,7 +7,7 @@
 namespace indigorill {
 
 void TrafficStatistics::record_priority(double priority, bool is_first) {
-  constexpr double smoothing = 0.02;  // some fifty RPCs are remembered
+  constexpr double smoothing = 0.02;  // a mean of about fifty RPCs
   mean_priority += (is_first ? 1 : smoothing) * (priority - mean_priority);
 }
 
@@ -21,11 +21,11 @@
 void TrafficStatistics::record_load_report(TrackedEndpoint& endpoint, const LoadReport& report,
                                            bool with_response, bool is_warming_up, double now_ms) {
   constexpr double max_plausible = 1e6;
-  constexpr double smoothing = 0.05;  // some twenty reports are remembered
+  constexpr double smoothing = 0.05;  // a mean of about twenty reports
   if (!report.in_flight) return;
   const double in_flight = *report.in_flight;
   if (!std::isfinite(in_flight) || in_flight < 0 || in_flight > max_plausible) return;
-  // A report is a moment old: it still counts the RPC whose response carries it.
+  // A report is slightly outdated: it still counts the RPC whose response carries it.
   endpoint.others_in_flight = std::max(0.0, in_flight - endpoint.in_flight - (with_response ? 1 : 0));
   endpoint.reported_at_ms = now_ms;
   double& mean = is_warming_up ? slow_start_others_in_flight : mean_others_in_flight;
@@ -34,9 +34,9 @@
 
 void TrafficStatistics::record_service_time(TrackedEndpoint& endpoint, double duration_ms, double queue_depth,
                                             bool is_response, double slow_start_weight, double now_ms) {
-  constexpr double smoothing = 0.1;  // an RPC differs from the next more than endpoints do
-  // What a congestion taught must not outlast it, nor may one long first response make a sidecar reject all
-  // that comes.
+  constexpr double smoothing = 0.1;  // RPCs differ from each other more than endpoints do
+  // The mean must recover after a congestion, and a single long first response must not make a sidecar reject
+  // all RPCs that follow.
   constexpr double min_smoothing = 0.02;
   const double observed_ms = duration_ms / queue_depth;
   endpoint.service_time_ms =
@@ -62,7 +62,7 @@
 void TrafficStatistics::update_rates(double now_ms) {
   constexpr double ms_per_s = 1000;
   constexpr double tenant_smoothing = 0.3;
-  constexpr double time_constant_ms = 3000;  // our own rate is that of the last seconds
+  constexpr double time_constant_ms = 3000;  // the rates are those of the last seconds
   const double elapsed_ms = updated_at_ms == never ? maintenance_interval_ms : now_ms - updated_at_ms;
   updated_at_ms = now_ms;
   for (std::size_t i = 0; i < tenant_arrivals_per_s.size(); ++i) {
@@ -79,7 +79,7 @@
 }
 
 void record_outcome(TrackedEndpoint& endpoint, bool has_failed, double now_ms) {
-  constexpr std::size_t max_outcomes = 16;  // the design's
+  constexpr std::size_t max_outcomes = 16;  // given by the design
   endpoint.recent_outcomes.push_back({now_ms, has_failed});
   if (endpoint.recent_outcomes.size() > max_outcomes)
     endpoint.recent_outcomes.erase(endpoint.recent_outcomes.begin());
--- a/src/load_balancer_state/water_filling.h
+++ b/src/load_balancer_state/water_filling.h
@@ -1,4 +1,4 @@
-/// Filling of queues of different length and speed up to one common wait.
+/// Water filling: distributes RPCs over queues of different length and speed up to one common wait.
 #pragma once
 
 #include <algorithm>
@@ -7,14 +7,14 @@
 
 namespace indigorill {
 
-/// One queue: how long it takes now, and by how much one RPC more prolongs it.
+/// One queue: its wait now, and the time that each further RPC adds to it.
 struct QueueLevel {
   double wait_ms;
   double service_time_ms;
 };
 
-/// The common wait up to which RPCs of this number fill the queues, each sent to the shortest one; 0 where
-/// there is no queue.
+/// The common wait to which `rpc_count` RPCs fill the queues if each is sent to the queue with the shortest
+/// wait; 0 if there is no queue.
 inline double fill_level_ms(std::vector<QueueLevel> queues, double rpc_count) {
   std::sort(queues.begin(), queues.end(), [](const QueueLevel& a, const QueueLevel& b) {
     return std::tie(a.wait_ms, a.service_time_ms) < std::tie(b.wait_ms, b.service_time_ms);
