--- a/src/load_balancer/attempts.h
+++ b/src/load_balancer/attempts.h
@@ -1,4 +1,4 @@
-/// The life of one attempt: how an RPC is decided on, and what the outcome of its attempt changes.
+/// Decisions on one RPC, and the changes to the state that the outcome of an attempt causes.
 #pragma once
 
 #include <optional>
@@ -7,10 +7,10 @@
 
 namespace indigorill {
 
-/// Decides on an RPC that is queued: an attempt, a rejection or failure, or nothing for now.
+/// Decides on an RPC taken from the queue: an attempt, a rejection, a failure, or nothing for now.
 std::optional<Decision> decide(BalancerState& state, TrackedRpc& rpc);
 
-/// Learns from an attempt that has ended.
+/// Updates the state by the outcome of an attempt that has ended.
 void record_attempt_outcome(BalancerState& state, Attempt& attempt, AttemptOutcome outcome,
                             double duration_ms, const LoadReport& report);
 
--- a/src/load_balancer/candidate_scoring.cpp
+++ b/src/load_balancer/candidate_scoring.cpp
@@ -13,7 +13,7 @@
 namespace indigorill {
 namespace {
 
-// Below this reputation an endpoint's capacity is not counted on.
+// At or below this reputation an endpoint's capacity is not counted.
 constexpr double failing_log2_reputation = -3;
 
 std::vector<std::uint64_t> best_affinity_scores(const BalancerState& state, const TrackedRpc& rpc) {
@@ -21,19 +21,20 @@
   return state.endpoints.best_scores_by_zone(*rpc.routing_key);
 }
 
-// RPCs at this rate that other sidecars sent since their last gossip. All of them see the same few idle
-// endpoints, and are taken to have sent there.
+// Number of RPCs that the other sidecars sent since their last gossip, if each sends at this rate. All
+// sidecars see the same few idle endpoints, so these RPCs are assumed to have been sent there.
 double unreported_sends(const BalancerState& state, double rate_per_ms) {
-  constexpr double delivery_ms = 25;  // messages take 2 to 25
+  constexpr double delivery_ms = 25;  // messages take 2 to 25 ms
   if (!state.has_recent_gossip()) return 0;
   return (state.config.sidecar_count - 1) * rate_per_ms * (state.gossip.mean_interval_ms / 2 + delivery_ms);
 }
 
 ScoringContext make_scoring_context(const BalancerState& state, const TrackedRpc& rpc) {
-  // Share of its time that an RPC may wait: the least one, and what the highest priority adds.
+  // Share of its remaining time that an RPC may wait: the minimum, and the addition at the highest priority.
   constexpr double min_patience = 0.4;
   constexpr double priority_patience = 0.6;
-  // An endpoint that holds far more than it works on slows down for many seconds: its queue is kept short.
+  // An endpoint that holds far more RPCs than it works on slows down for many seconds, so its queue is kept
+  // short.
   constexpr double queue_depth_per_patience = 4;
   constexpr double over_quota_queue_share = 0.5;
   const double on_time_ms = std::min(rpc.objective_at_ms, final_answer_by_ms(state, rpc)) - state.now_ms;
@@ -52,7 +53,7 @@
   };
 }
 
-// Connections, slow start, and the rule that no effect may happen twice.
+// Checks connection limits, slow start, and that a retry stays where it is deduplicated.
 bool may_send_to(BalancerState& state, const TrackedRpc& rpc, TrackedEndpoint& endpoint) {
   if (endpoint.connection_limited && endpoint.idle_connections == 0) return false;
   if (is_warming_up(state, endpoint)) {
@@ -68,12 +69,13 @@
 
 EndpointEstimate estimate(const BalancerState& state, const TrackedEndpoint& endpoint, double retention_ms,
                           double send_interval_ms) {
-  // Where fewer than 16 outcomes are remembered, their failures stand for the rest, as what fails at once
-  // looks idle; two successes are assumed, as one chance failure says less than it seems.
+  // With fewer than 16 recent outcomes, their failures stand for the missing ones as well, because an
+  // endpoint that fails at once looks idle. Two successes are assumed, because a single failure may be due to
+  // chance.
   constexpr double full_history = 16;
   constexpr double assumed_successes = 2;
   constexpr double min_recency_unit_ms = 1000;  // 3 and 10 s are no better
-  constexpr double max_log2_recency = 6;        // against overflow
+  constexpr double max_log2_recency = 6;        // prevents overflow
   const auto [outcomes, failures] = endpoint.count_outcomes_since(state.now_ms - retention_ms);
   const double peer_failures = state.peer_loads.failures(endpoint.gossip_tag(), state.now_ms);
   const double idle_ms = state.now_ms - endpoint.last_sent_at_ms;
@@ -107,7 +109,7 @@
   return estimates;
 }
 
-// An endpoint that nothing was sent to takes the others' mean reputation and recency.
+// Endpoints to which nothing was sent take the mean reputation and recency of the others.
 double mean_log2_weight(const CandidateSet& set, const std::vector<EndpointEstimate>& estimates) {
   double reputation = 0;
   double recency = 0;
@@ -121,7 +123,7 @@
   return count > 0 ? std::log2(reputation / count) + std::log2(recency / count) : 0;
 }
 
-// The wait up to which idle endpoints are filled by what other sidecars sent unreported.
+// The wait to which RPCs that other sidecars sent since their last gossip fill idle endpoints.
 double unreported_fill_level_ms(const BalancerState& state, const std::vector<EndpointEstimate>& estimates) {
   std::vector<QueueLevel> queues;
   for (const EndpointEstimate& estimate : estimates)
@@ -130,8 +132,8 @@
   return fill_level_ms(std::move(queues), unreported_sends(state, state.traffic.sends_per_ms));
 }
 
-// Where nothing was sent for long, what was learned may be over, but would never be seen to be; as a
-// thousand sidecars that try at once are a load, each tries by chance.
+// After a long time without sends the observations may be outdated, and without a trial they would never be
+// corrected. Trials are admitted at random, because a thousand sidecars that try at once are a load.
 bool admit_trial(BalancerState& state, const CandidateSet& set) {
   constexpr double min_silence_ms = 1000;
   constexpr double probability = 0.1;
@@ -142,7 +144,8 @@
 // Time until the endpoint would begin to work on the RPC.
 double expected_wait_ms(const BalancerState& state, const ScoringContext& context, const TrackedRpc& rpc,
                         const TrackedEndpoint& endpoint, const EndpointEstimate& estimate) {
-  // What rejected an attempt looks idle, but its queue is as long as it gets: in latency objectives.
+  // An endpoint that rejected an attempt looks idle, but its queue is full. Both constants are in latency
+  // objectives.
   constexpr double full_queue = 0.4;
   constexpr double half_life = 2;
   const double objective_ms = rpc.method->latency_objective_ms;
@@ -153,11 +156,13 @@
 
 bool meets_objective(const ScoringContext& context, const TrackedEndpoint& endpoint,
                      const EndpointEstimate& estimate, double wait_ms) {
-  // The RPC may be a long one, and a wait must leave time for that: in mean RPCs.
+  // The RPC may take longer than the mean, and its wait must leave time for that. In mean service times.
   constexpr double service_time_margin = 1.6;
-  // Quiet sidecars guess the service time for long, and would reject what idle endpoints could serve.
-  constexpr double guess_share = 0.4;  // 0.2 is alike, 0.7 rejects three times as many
-  // Failures that make an endpoint hopeless, and more for one that is known to be nearly idle.
+  // A sidecar with little traffic relies on a guessed service time for long; with the whole guess it would
+  // reject RPCs that idle endpoints could serve.
+  constexpr double guess_share = 0.4;  // 0.2 gives a similar result, 0.7 rejects three times as many RPCs
+  // Number of recent failures from which no response in time is expected; higher if a load report shows that
+  // the endpoint is nearly idle.
   constexpr double max_failures = 3;
   constexpr double max_failures_if_idle = 17;
   constexpr double idle_queue_depth = 1.5;
@@ -173,17 +178,17 @@
          wait_ms - guessed_excess_ms <= context.patience * (context.remaining_ms - needed_ms);
 }
 
-// Logarithm of the weight in the draw: reputation and recency, less a number of halvings for each drawback.
+// Binary logarithm of the weight in the draw: reputation and recency, less the halvings for each drawback.
 double log2_weight(const BalancerState& state, const ScoringContext& context, const TrackedRpc& rpc,
                    const Candidate& candidate, const EndpointEstimate& estimate, double wait_ms) {
-  constexpr double per_latency_objective = 30;  // an RPC in flight takes 4 to 9 of them
+  constexpr double per_latency_objective = 30;  // an RPC in flight costs 4 to 9 halvings
   constexpr double per_cross_zone_cost = 40;
   constexpr double per_handshake_cost = 100;
   constexpr double over_max_queue_depth = 20;  // more than key affinity adds
   constexpr double unanswered_probe = 8;       // a dead endpoint answers no health check
-  constexpr double not_probed = 3;             // beside the number of endpoints
-  constexpr double already_tried = 4;          // another endpoint is the better bet for a retry
-  constexpr double key_affinity = 20;          // a long queue still sends the RPC elsewhere
+  constexpr double not_probed = 3;             // added to the logarithm of the number of endpoints
+  constexpr double already_tried = 4;          // a retry more likely succeeds at another endpoint
+  constexpr double key_affinity = 20;          // a long queue still outweighs it
   const TrackedEndpoint& endpoint = *candidate.endpoint;
   const bool is_unsent = endpoint.last_sent_at_ms == never;
   const bool is_warm = candidate.slow_start_weight >= 1;
@@ -209,7 +214,7 @@
   return is_preferred ? weight + key_affinity : weight;
 }
 
-// All sidecars see the same free capacity: what is scarce is shared by chance.
+// All sidecars see the same free capacity; when it is short, each admits RPCs at random.
 bool admit_by_capacity(BalancerState& state, const ScoringContext& context,
                        const std::vector<EndpointEstimate>& estimates) {
   if (!state.has_recent_gossip()) return true;
--- a/src/load_balancer/candidate_scoring.h
+++ b/src/load_balancer/candidate_scoring.h
@@ -1,5 +1,5 @@
-/// Candidate scoring: which endpoints an RPC may be sent to, their weights in the draw, and whether they
-/// would answer in time. The reasons for the constants, and what else was tried, are in docs/design.md.
+/// Candidate scoring: the endpoints that an RPC may be sent to, their weights in the draw, and whether they
+/// would answer in time. The reasons for the constants and the alternatives tried are in docs/design.md.
 #pragma once
 
 #include "load_balancer_state/balancer_state.h"
@@ -7,8 +7,8 @@
 
 namespace indigorill {
 
-/// Scores all endpoints that the RPC may be sent to now. Empty if there is none, or if the RPC is to be
-/// rejected as capacity is short everywhere.
+/// Scores all endpoints that the RPC may be sent to now. Empty if there are none, or if the RPC has to be
+/// rejected because capacity is short.
 CandidateSet score_candidates(BalancerState& state, const TrackedRpc& rpc);
 
 }  // namespace indigorill
