--- a/src/load_balancer/decision_queue.cpp
+++ b/src/load_balancer/decision_queue.cpp
@@ -40,7 +40,7 @@
   return make_health_check(*endpoint);
 }
 
-// None as well where an RPC wants health checks: these come first.
+// Also returns none once an RPC has requested health checks, which are handed out first.
 std::optional<Decision> next_rpc_decision(BalancerState& state) {
   while (state.rpcs.has_queued() && state.pending_probes.empty()) {
     std::optional<Decision> decision = decide(state, state.rpcs.pop_queued());
--- a/src/load_balancer/decision_queue.h
+++ b/src/load_balancer/decision_queue.h
@@ -7,9 +7,9 @@
 
 namespace indigorill {
 
-/// The next decision at the present time, none if nothing is left to decide.
+/// Returns the next decision at the present time, none if nothing is left to decide.
 std::optional<Decision> next_decision(BalancerState& state);
-/// A timer that a decision asked for has fired.
+/// Handles a timer that a decision requested and that has fired.
 void on_timer(BalancerState& state, std::uint64_t timer_id);
 
 }  // namespace indigorill
--- a/src/load_balancer/load_balancer.cpp
+++ b/src/load_balancer/load_balancer.cpp
@@ -1,5 +1,5 @@
-// The public entry points: they forward what the host reports to the parts that learn and decide, and decide
-// nothing themselves.
+// The public entry points. They forward the host's reports to the parts that update the state and decide;
+// they make no decisions themselves.
 #include "indigorill/load_balancer.h"
 
 #include <algorithm>
