--- a/src/load_balancer/endpoint_updates.cpp
+++ b/src/load_balancer/endpoint_updates.cpp
@@ -9,7 +9,7 @@
 namespace indigorill {
 namespace {
 
-// Over how long the polls of all sidecars are spread: one service answers them all.
+// Period over which the polls of all sidecars are spread, because one service answers them all.
 double poll_spread_ms(const BalancerState& state) {
   constexpr double per_sidecar_ms = 50;  // 20 polls a second
   return std::min(per_sidecar_ms * (state.config.sidecar_count - 1), state.config.max_poll_silence_ms / 2);
@@ -17,10 +17,10 @@
 
 constexpr double max_backoff_jitter = 1.5;
 
-// Before jitter.
+// Upper bound of the backoff, before jitter.
 double max_backoff_ms(const BalancerState& state, std::optional<double> poll_duration_ms) {
-  // From the start of a failed poll to the next one: a change counts as known 6 s after discovery could be
-  // reached, and 4 s after a new agent was named, although polls failed.
+  // From the start of a failed poll to the next one. A change is considered known 6 s after discovery could
+  // be reached, and 4 s after a new agent was named, even if polls failed.
   constexpr double max_poll_interval_ms = 3500;
   if (!poll_duration_ms) return state.config.max_poll_silence_ms;
   return (max_poll_interval_ms - *poll_duration_ms) / max_backoff_jitter;
@@ -48,7 +48,8 @@
   state.poll.next_at_ms = state.now_ms + unit_fraction(splitmix64_finalize(seed)) * poll_spread_ms(state);
 }
 
-// What the list's one service gave up on still fills its queue: polls of all at once would keep it down.
+// Failed polls still fill the queue of the list's one service, and polls of all sidecars at once would keep
+// it unavailable.
 void schedule_poll_after_failure(BalancerState& state, std::optional<double> poll_duration_ms) {
   constexpr double min_backoff_ms = 250;
   EndpointPollState& poll = state.poll;
--- a/src/load_balancer/endpoint_updates.h
+++ b/src/load_balancer/endpoint_updates.h
@@ -1,4 +1,4 @@
-/// The endpoint list: when it is polled, and what follows from what it says.
+/// The endpoint list: the schedule of its polls, and the updates of the state that follow from it.
 #pragma once
 
 #include <optional>
@@ -8,10 +8,11 @@
 namespace indigorill {
 
 void refresh_ready_endpoints(BalancerState& state);
-/// Forgets endpoints that left and that nothing refers to any more.
+/// Erases endpoints that are neither ready nor ejected by an operator, were not used lately and to which no
+/// RPC refers.
 void evict_departed_endpoints(BalancerState& state);
 
-/// Sets the time of the first poll, spread over the sidecars by the seed.
+/// Sets the time of the first poll; the seed spreads the first polls of all sidecars.
 void schedule_first_poll(BalancerState& state, std::uint64_t seed);
 void schedule_poll_after_failure(BalancerState& state, std::optional<double> poll_duration_ms);
 /// True if the list has to be polled at the scheduled time.
