--- a/src/load_balancer/gossip.cpp
+++ b/src/load_balancer/gossip.cpp
@@ -8,12 +8,13 @@
 
 constexpr double min_interval_ms = 50;
 
-// A message is paid for each receiver: gossip may cost a share of what arrives, at the start on credit.
+// The cost of a message is charged for each receiver. Gossip may cost a share of the value of the arriving
+// RPCs; the initial budget is a credit.
 void schedule_next_gossip(BalancerState& state, std::size_t endpoint_load_count) {
   constexpr double cost_share = 0.01;
   constexpr double max_budget = 1;
   constexpr double interval_smoothing = 0.1;
-  // Sizes in bytes: of the message that the configured cost is for, of the header, and for each endpoint.
+  // Sizes in bytes: of the message to which the configured cost applies, of the header, and of each endpoint.
   constexpr double priced_size = 256;
   constexpr double header_size = 4;
   constexpr double endpoint_size = 3;
@@ -42,7 +43,8 @@
       static_cast<std::uint32_t>(splitmix64_finalize(seed) % LoadGossip::sequence_modulus);
 }
 
-// Changes since the last message, and each second all that is in flight, for messages that were lost.
+// Contains the changes since the last message, and once a second everything in flight, to make up for lost
+// messages.
 std::optional<LoadGossip> make_gossip(BalancerState& state) {
   GossipState& gossip = state.gossip;
   LoadGossip message;
--- a/src/load_balancer/gossip.h
+++ b/src/load_balancer/gossip.h
@@ -1,4 +1,4 @@
-/// What this sidecar tells the others of its load, and when, within what messages may cost.
+/// The load gossip that this sidecar sends, and its schedule within the budget for messages.
 #pragma once
 
 #include <optional>
@@ -8,9 +8,9 @@
 namespace indigorill {
 
 bool sends_gossip(const BalancerState& state);
-/// Sets the time and the number of the first message, spread over the sidecars by the seed.
+/// Sets the time and the number of the first message; the seed makes them differ between sidecars.
 void schedule_first_gossip(BalancerState& state, std::uint64_t seed);
-/// The message that is due now, none if there is nothing to tell. Sets the time of the next one.
+/// Returns the message that is due now, none if there is nothing to report. Schedules the next one.
 std::optional<LoadGossip> make_gossip(BalancerState& state);
 
 }  // namespace indigorill
--- a/src/load_balancer/load_estimates.cpp
+++ b/src/load_balancer/load_estimates.cpp
@@ -17,7 +17,7 @@
 }
 
 double expected_service_time_ms(const BalancerState& state, const TrackedEndpoint& endpoint) {
-  constexpr double half_life_ms = 2000;  // an observation counts for some seconds, then the usual time does
+  constexpr double half_life_ms = 2000;  // an observation counts for some seconds, then the usual time
   const TrafficStatistics& traffic = state.traffic;
   const MachineTypeStats& machine_type = *endpoint.machine_type;
   const double age = (state.now_ms - endpoint.service_time_at_ms) / half_life_ms;
@@ -38,12 +38,12 @@
 }
 
 double report_confidence(const BalancerState& state, const TrackedEndpoint& endpoint) {
-  constexpr double half_life_ms = 200;  // then it is half way back to the mean; 100 and 400 are alike
+  constexpr double half_life_ms = 200;  // then the estimate is halfway to the mean; 100 and 400 are similar
   return decayed_share((state.now_ms - endpoint.reported_at_ms) / half_life_ms);
 }
 
 bool has_fresh_report(const BalancerState& state, const TrackedEndpoint& endpoint) {
-  constexpr double max_age_ms = 10;  // 3 to 40 are alike
+  constexpr double max_age_ms = 10;  // 3 to 40 give similar results
   return state.now_ms - endpoint.reported_at_ms <= max_age_ms;
 }
 
