--- a/src/load_balancer/probing.cpp
+++ b/src/load_balancer/probing.cpp
@@ -12,9 +12,10 @@
 namespace indigorill {
 namespace {
 
-// What an RPC may gain by load reports, over the cost of a probe; a fraction is bought by chance.
+// The gain that an RPC may have from load reports, divided by the cost of a probe; a fraction is
+// rounded up or down at random.
 double affordable_probe_count(BalancerState& state, const TrackedRpc& rpc, const CandidateSet& set) {
-  constexpr double gain_share = 0.2;  // of an RPC's priority weight
+  constexpr double gain_share = 0.2;  // share of an RPC's priority weight
   constexpr double max_probes = 9;
   const LoadBalancerConfig& config = state.config;
   const TrafficStatistics& traffic = state.traffic;
@@ -29,8 +30,8 @@
   return std::min(std::floor(gain / cost + state.random_fraction()), max_probes);
 }
 
-// The endpoints of shortest expected wait are the same ones at all sidecars, which would crowd them: targets
-// are drawn by weight.
+// Draws targets by weight: the endpoints of shortest expected wait are the same for all sidecars, which would
+// overload them together.
 void draw_probe_targets(BalancerState& state, TrackedRpc& rpc, CandidateSet set) {
   while (static_cast<double>(rpc.probe_targets.size()) < rpc.probe_count &&
          rpc.probe_targets.size() < set.candidates.size()) {
@@ -50,7 +51,7 @@
                      });
 }
 
-// A few at a time, until one is idle.
+// Queues the next few probes; probing stops once an endpoint is found idle.
 void queue_probes(BalancerState& state, TrackedRpc& rpc) {
   constexpr std::size_t max_at_once = 3;
   for (std::size_t i = 0; i < max_at_once && rpc.probed_endpoints.size() < rpc.probe_targets.size(); ++i) {
--- a/src/load_balancer/rpc_arrival.cpp
+++ b/src/load_balancer/rpc_arrival.cpp
@@ -6,10 +6,10 @@
 namespace indigorill {
 namespace {
 
-// How long ago a client first sent what it now retries. A time budget unlike the usual ones is what is left
-// of the client's deadline.
+// Time since the client first sent the RPC that it may now be retrying. A time budget unlike the usual ones
+// is taken for the remainder of the client's deadline; with a usual one the time is 0.
 double estimate_client_elapsed_ms(BalancerState& state, const MethodConfig& method, double budget_ms) {
-  constexpr double tolerance = 0.01;  // of the deadline: what a busy process may lose of a budget
+  constexpr double tolerance = 0.01;  // share of the deadline that a budget may lose in a busy process
   constexpr std::size_t max_samples = 32;
   constexpr std::size_t min_samples = 16;
   constexpr int min_alike = 3;
@@ -24,7 +24,7 @@
   return is_usual ? 0 : std::max(method.deadline_ms - budget_ms, 0.0);
 }
 
-// Share of a tenant's RPCs, over all sidecars, that is beyond its quota.
+// Share of a tenant's RPCs, over all sidecars, that exceeds its quota.
 double over_quota_fraction(const BalancerState& state, std::size_t tenant) {
   const double arrivals_per_s =
       state.traffic.tenant_arrivals_per_s[tenant] + state.peer_loads.arrivals_per_s(tenant);
@@ -33,7 +33,7 @@
   return arrivals_per_s > 0 ? std::max(0.0, 1 - quota_per_s / arrivals_per_s) : 0;
 }
 
-// What a tenant sends beyond its quota counts for less; which of its RPCs that are is left to chance.
+// RPCs over a tenant's quota count for less. They are selected at random among the tenant's RPCs.
 void apply_tenant_quota(BalancerState& state, TrackedRpc& rpc, std::string_view tenant) {
   for (std::size_t i = 0; i < state.config.tenants.size(); ++i) {
     if (state.config.tenants[i].name != tenant) continue;
