--- a/src/load_balancer/retry_policy.cpp
+++ b/src/load_balancer/retry_policy.cpp
@@ -5,7 +5,8 @@
 namespace indigorill {
 namespace {
 
-// A rejection says that a retry is harmless. What may have run and must not run twice fails.
+// A rejection tells the client that a retry is harmless. An RPC that may have been executed, and must not be
+// executed twice, fails instead.
 bool may_reject(const TrackedRpc& rpc) {
   const MethodConfig& method = *rpc.method;
   if (method.retry_safety == RetrySafety::idempotent || !rpc.first_possibly_executed()) return true;
@@ -13,7 +14,8 @@
          method.deduplication_scope == DeduplicationScope::global;
 }
 
-// When to retry: as late as clients take advice, or sooner where a late response is still worth something.
+// The Retry-After of a rejection: the longest that clients heed, or a shorter one if a late response still
+// has value.
 double retry_after_ms(const BalancerState& state, const TrackedRpc& rpc) {
   constexpr double min_ms = 100;
   constexpr double share_of_remaining_time = 4;
@@ -34,9 +36,9 @@
   return rpc.method->late_weight > 0 ? final_answer_ms : std::min(rpc.objective_at_ms, final_answer_ms);
 }
 
-// A retry that is on its way for longer, as its connection came up late, could run for the second time.
+// A retry that is sent after this time, for example after a slow connect, could be executed a second time.
 double retry_deadline_ms(const TrackedRpc& rpc) {
-  constexpr double usable_window = 0.9;  // of the deduplication window: the retry still has to travel
+  constexpr double usable_window = 0.9;  // of the deduplication window; the rest is for the retry's transfer
   const Attempt* first = rpc.first_possibly_executed();
   if (!first || rpc.method->retry_safety != RetrySafety::idempotency_key) return far_future;
   return first->sent_at_ms + usable_window * rpc.method->deduplication_window_ms;
@@ -54,7 +56,7 @@
 }
 
 void update_retry_budget(BalancerState& state, const Attempt& attempt) {
-  constexpr double earned_share = 0.5;  // of the success rate
+  constexpr double earned_share = 0.5;  // share of the success rate
   constexpr double max_tokens = 10;
   RetryBudget& retries = state.retries;
   if (attempt.is_retry) {
@@ -67,7 +69,7 @@
 
 void record_retry_outcome(BalancerState& state, bool has_succeeded_in_time) {
   constexpr double smoothing = 0.1;
-  constexpr double failure_value = 0.1;  // above 0, so that retries never dry up for good
+  constexpr double failure_value = 0.1;  // above 0, so that retries never cease permanently
   double& rate = state.retries.success_rate;
   rate += smoothing * ((has_succeeded_in_time ? 1 : failure_value) - rate);
 }
@@ -76,7 +78,7 @@
   rpc.is_concluded = true;
   state.rpcs.set_due_time(rpc, never);
   state.rpcs.stop_awaiting_probes(rpc);
-  // Work for a response that nobody waits for any more crowds out work that can still be of use.
+  // Work on a response for which no client waits takes capacity from RPCs that can still succeed.
   if (state.config.cancellation_enabled && !rpc.is_streaming) state.rpcs.cancel_outstanding_attempts(rpc);
 }
 
