--- a/src/load_balancer/slow_start.cpp
+++ b/src/load_balancer/slow_start.cpp
@@ -8,10 +8,10 @@
 
 }  // namespace
 
-// By tokens, each sidecar gives a starting endpoint no more than its own mean times a part of the overload
-// factor; little is saved up.
+// The tokens limit what each sidecar sends to a starting endpoint to its own mean per endpoint times a part
+// of the overload factor. Only few tokens accumulate.
 void refill_slow_start_tokens(BalancerState& state, TrackedEndpoint& endpoint) {
-  constexpr double least_share_of_arrivals = 0.3;  // so that a fleet that is all starting gets something
+  constexpr double least_share_of_arrivals = 0.3;  // so that a fleet in which all endpoints start gets RPCs
   const TrafficStatistics& traffic = state.traffic;
   const double sends_per_endpoint =
       std::max(traffic.sends_per_ms, least_share_of_arrivals * traffic.arrivals_per_ms) /
--- a/src/load_balancer/slow_start.h
+++ b/src/load_balancer/slow_start.h
@@ -1,4 +1,4 @@
-/// Slow start: an endpoint that started lately takes less than its share until it has warmed up.
+/// Slow start: an endpoint that started recently gets less than its share until it has warmed up.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace indigorill {
 
-/// 1 for an endpoint that has warmed up or whose start is unknown, less for a younger one.
+/// 1 for an endpoint that has warmed up or whose start time is unknown, less for one that is warming up.
 inline double slow_start_weight(const BalancerState& state, const TrackedEndpoint& endpoint) {
   const LoadBalancerConfig& config = state.config;
   const double age_ms = state.now_ms - endpoint.started_at_ms;
@@ -20,11 +20,11 @@
   return slow_start_weight(state, endpoint) < 1;
 }
 
-/// Adds the tokens earned since the last call to those that an endpoint may be sent while it warms up.
+/// Adds the tokens earned since the last call; each permits one attempt while the endpoint warms up.
 void refill_slow_start_tokens(BalancerState& state, TrackedEndpoint& endpoint);
 
-/// Bound on the probability that one draw selects an endpoint of this weight, where each RPC is drawn for
-/// `draws_per_rpc` times.
+/// Upper bound on the probability that one draw selects an endpoint of this weight, if there are
+/// `draws_per_rpc` draws for each RPC.
 double max_slow_start_probability(const BalancerState& state, double weight, double draws_per_rpc);
 
 }  // namespace indigorill
--- a/src/load_balancer/weighted_draw.cpp
+++ b/src/load_balancer/weighted_draw.cpp
@@ -17,7 +17,7 @@
   return position;
 }
 
-// Endpoints that the RPC has probed are not bounded: the chance to be probed was.
+// Endpoints that the RPC has probed are not bounded, because the probability of their probes was.
 LimitedCandidates limited_candidates(const BalancerState& state, const TrackedRpc& rpc,
                                      const CandidateSet& set) {
   const std::vector<TrackedEndpoint*>& probed = rpc.probed_endpoints;
@@ -40,10 +40,12 @@
 
 }  // namespace
 
-// A thousand sidecars that each save up one RPC for a starting endpoint would overload it: the probability is
-// bounded. What one may not get goes to the other starting ones, by what their own bounds leave.
+// The probability is bounded because a starting endpoint would be overloaded if each of a thousand sidecars
+// used its one token for it. Probability above the bound of one starting endpoint goes to the others in
+// proportion to their headroom.
 std::size_t draw_with_slow_start_limit(BalancerState& state, const TrackedRpc& rpc, CandidateSet& set) {
-  // Of the best weight of the others, for an endpoint to get more: a failure alone takes more.
+  // Share of the best weight without a bound that an endpoint must exceed to get more: a failure alone
+  // takes more.
   constexpr double min_weight_ratio = 0x1p-6;
   const LimitedCandidates limited = limited_candidates(state, rpc, set);
   if (limited.entries.empty() || limited.entries.size() == set.candidates.size())
