--- a/src/load_gossip/load_gossip_codec.cpp
+++ b/src/load_gossip/load_gossip_codec.cpp
@@ -6,12 +6,12 @@
 namespace indigorill {
 namespace {
 
-// The format is the first byte, so that a later one is not guessed at.
+// The first byte names the format, so that a message of a later format is not misread.
 constexpr char complete_format = 'a';
 constexpr char delta_format = 'b';
 constexpr std::size_t max_message_bytes = 256;
 
-// Digits of base 90: printable, and none that JSON would write as two bytes.
+// Digits of base 90: printable characters that JSON does not escape.
 constexpr std::string_view digit_alphabet =
     "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ!#$%&'()*+,-./:;<=>?@[]^_`{|";
 constexpr std::uint32_t radix = 90;
@@ -24,7 +24,7 @@
 constexpr int tag_digits = 2;
 constexpr int load_digits = 1;
 
-// Attempts in flight and failures share one digit: 18 by 5.
+// Attempts in flight and failures share one digit, with 18 and 5 possible values.
 constexpr std::uint32_t max_in_flight = 17;
 constexpr std::uint32_t max_failures = 4;
 static_assert((max_in_flight + 1) * (max_failures + 1) <= radix);
@@ -36,7 +36,7 @@
   }
 }
 
-// Takes a number off the front; none if there is no such.
+// Removes a number of `count` digits from the front of `bytes`; none if they don't start with one.
 std::optional<std::uint32_t> take_digits(std::string_view& bytes, int count) {
   const auto size = static_cast<std::size_t>(count);
   if (bytes.size() < size) return {};
@@ -59,7 +59,7 @@
 }  // namespace
 
 std::string encode_load_gossip(const LoadGossip& gossip) {
-  constexpr std::uint32_t max_digit = radix - 1;  // of tenants, and of a tenant's arrivals a second
+  constexpr std::uint32_t max_digit = radix - 1;  // for the number of tenants, and the arrivals/s of each
   const std::size_t tenant_count = std::min<std::size_t>(gossip.arrivals_per_s.size(), max_digit);
   std::string text(1, gossip.is_complete ? complete_format : delta_format);
   append_digits(text, gossip.sequence % LoadGossip::sequence_modulus, sequence_digits);
--- a/src/load_gossip/load_gossip_codec.h
+++ b/src/load_gossip/load_gossip_codec.h
@@ -1,9 +1,9 @@
-/// Encoding of the load gossip between sidecars, as bytes that fit a datagram and a JSON string alike. No I/O
-/// and no decisions.
+/// Encoding of the load gossip between sidecars, as bytes that are valid both in a datagram and in a JSON
+/// string. No I/O and no decisions.
 ///
-/// Layout, in digits of base 90, least significant first: the format, two digits of the sequence number, one
-/// of the number of tenants, one for each tenant's arrivals a second, then three for each endpoint: two of
-/// its tag, one of attempts in flight and failures together.
+/// Layout: one byte for the format, then digits of base 90, least significant first: two for the sequence
+/// number, one for the number of tenants, one for each tenant's arrivals per second, and three for each
+/// endpoint: two for its tag, and one for attempts in flight and failures together.
 #pragma once
 
 #include <optional>
@@ -14,10 +14,10 @@
 
 namespace indigorill {
 
-/// Printable ASCII alone, 256 bytes at most; endpoints that no longer fit are left out from the end.
+/// Returns printable ASCII of at most 256 bytes; the last endpoints are left out if they do not fit.
 std::string encode_load_gossip(const LoadGossip& gossip);
 
-/// None for a message that is truncated, too long or of another format: it is ignored.
+/// None for a message that is truncated, too long or of another format, which the caller ignores.
 std::optional<LoadGossip> decode_load_gossip(std::string_view bytes);
 
 }  // namespace indigorill
--- a/src/load_gossip/peer_load_table.cpp
+++ b/src/load_gossip/peer_load_table.cpp
@@ -10,7 +10,7 @@
   PeerReport& report = reports_by_peer_[peer];
   const std::uint32_t advance = (gossip.sequence + modulus - report.sequence) % modulus;
   const bool is_outdated = advance == 0 || advance > modulus / 2;
-  // A peer that restarts counts from anywhere: after a silence any number will do.
+  // A restarted peer begins at an arbitrary number, so after a silence any number is accepted.
   if (is_outdated && now_ms - report.received_at_ms < peer_timeout_ms) return;
   if (gossip.is_complete) remove_in_flight(report);
   last_received_at_ms_ = now_ms;
@@ -54,7 +54,7 @@
 }
 
 double PeerLoadTable::failures(std::uint32_t endpoint_tag, double now_ms) const {
-  constexpr double half_life_ms = 2000;  // an endpoint that fails is in several messages of that time
+  constexpr double half_life_ms = 2000;  // a failing endpoint is in several messages during this time
   const auto entry = failures_by_tag_.find(endpoint_tag);
   if (entry == failures_by_tag_.end()) return 0;
   const FailureCount& failures = entry->second;
--- a/src/load_gossip/peer_load_table.h
+++ b/src/load_gossip/peer_load_table.h
@@ -1,4 +1,4 @@
-/// The load that other sidecars cause, added up by endpoint and tenant.
+/// The load that other sidecars cause, summed by endpoint and tenant.
 #pragma once
 
 #include <cstddef>
@@ -10,26 +10,27 @@
 
 namespace indigorill {
 
-/// Sums of the last load gossip of all peers. Messages are late, lost, doubled and out of order, and a peer
-/// may have died since its last one: each replaces what its sender said before, and silence ends it.
+/// Sums over the load gossip of all peers. Messages may arrive late, twice, out of order or not at all, and a
+/// peer may have died since its last one. Therefore each message replaces the values that its sender reported
+/// before, and the values of a silent peer expire.
 class PeerLoadTable {
  public:
   void record_gossip(double now_ms, int peer, const LoadGossip& gossip);
-  /// Forgets peers that were not heard for long, and failures that have faded.
+  /// Erases peers that have been silent for too long, and failures that have decayed.
   void expire_silent_peers(double now_ms);
 
-  /// True if any peer was heard lately.
+  /// True if gossip of any peer was received lately.
   bool has_recent_gossip(double now_ms) const { return now_ms - last_received_at_ms_ <= peer_timeout_ms; }
-  /// Attempts of all peers at the endpoint.
+  /// Attempts of all peers in flight at the endpoint.
   double in_flight(std::uint32_t endpoint_tag) const { return total_in_flight_by_tag_[endpoint_tag]; }
-  /// Failures that peers saw at the endpoint; they fade.
+  /// Failures of peers at the endpoint, decayed by their age.
   double failures(std::uint32_t endpoint_tag, double now_ms) const;
-  /// RPCs of the tenant at all peers.
+  /// Rate at which the tenant's RPCs arrive at all peers.
   double arrivals_per_s(std::size_t tenant) const;
 
  private:
   static constexpr double never = -1e18;
-  // A peer with anything in flight sends gossip once a second at least.
+  // A peer with attempts in flight sends gossip at least once a second.
   static constexpr double peer_timeout_ms = 1500;
 
   struct PeerReport {
