--- a/tests/candidate_scoring_test.cpp
+++ b/tests/candidate_scoring_test.cpp
@@ -18,7 +18,7 @@
   };
 }
 
-// Full windows of successes on both, then this outcome on "a".
+// Fills the outcome windows of both endpoints: 15 successes, then this outcome on "a" and a success on "b".
 History last_attempt_ended(AttemptOutcome outcome) {
   return [=](LoadBalancerHarness& harness) {
     for (int i = 0; i < 15; ++i) {
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-TEST_CASE("the draw: probability in proportion to reputation, recency and the factors beside them") {
+TEST_CASE("the draw is in proportion to reputation and recency and the other factors of the weight") {
   struct {
     const char* name;
     History history;
@@ -98,26 +98,26 @@
     double max;
   } table[] = {
       {"two endpoints without attempts are equal", list_a_and_b, 0.43, 0.57},
-      {"ok is a success", last_attempt_ended(AttemptOutcome::ok), 0.43, 0.57},
-      {"an error halves", last_attempt_ended(AttemptOutcome::error), 0.27, 0.40},
-      {"a reset halves", last_attempt_ended(AttemptOutcome::reset), 0.27, 0.40},
-      {"a failed connect halves", last_attempt_ended(AttemptOutcome::connect_failed), 0.27, 0.40},
-      {"cancelled counts for nothing", last_attempt_ended(AttemptOutcome::cancelled), 0.43, 0.57},
-      {"a client error counts for nothing", last_attempt_ended(AttemptOutcome::client_error), 0.43, 0.57},
-      {"an error among few attempts stands for those not made",
+      {"a response in time is a success", last_attempt_ended(AttemptOutcome::ok), 0.43, 0.57},
+      {"an error halves the weight", last_attempt_ended(AttemptOutcome::error), 0.27, 0.40},
+      {"a reset halves the weight", last_attempt_ended(AttemptOutcome::reset), 0.27, 0.40},
+      {"a failed connect halves the weight", last_attempt_ended(AttemptOutcome::connect_failed), 0.27, 0.40},
+      {"a cancelled attempt does not count", last_attempt_ended(AttemptOutcome::cancelled), 0.43, 0.57},
+      {"a client error does not count", last_attempt_ended(AttemptOutcome::client_error), 0.43, 0.57},
+      {"an error among few attempts counts for the missing ones as well",
        one_attempt_each("a", AttemptOutcome::error, "b", AttemptOutcome::ok), 0, 0.06},
-      {"one second idle doubles", a_idle_for(1000), 0.60, 0.73},
-      {"idle for months stays finite and capped", a_idle_for(1e10), 0.95, 1.0},
+      {"one idle second doubles the weight", a_idle_for(1000), 0.60, 0.73},
+      {"the weight stays finite and capped after months of idle time", a_idle_for(1e10), 0.95, 1.0},
       {"an endpoint without attempts takes the others' mean",
        one_attempt_each("b", AttemptOutcome::error, "b", AttemptOutcome::ok), 0.43, 0.57},
-      {"an old failure ages out", old_failure, 0.43, 0.57},
-      {"failures more than 16 attempts ago are forgotten", failures_outside_window, 0.43, 0.57},
+      {"an old failure no longer counts", old_failure, 0.43, 0.57},
+      {"failures more than 16 attempts ago no longer count", failures_outside_window, 0.43, 0.57},
       {"an endpoint that rejected an attempt looks idle but is not",
        one_attempt_each("b", AttemptOutcome::ok, "a", AttemptOutcome::rejected), 0, 0.02},
-      {"a restarted process starts afresh", restart_of_a, 0.43, 0.57},
-      {"an endpoint in slow start counts for less by its age", recent_start_of_a, 0, 0.05},
+      {"a restart of the process clears its history", restart_of_a, 0.43, 0.57},
+      {"an endpoint in slow start has a lower weight by its age", recent_start_of_a, 0, 0.05},
       {"implausible load reports are ignored", implausible_reports, 0.43, 0.57},
-      {"a report of a queue keeps attempts away", report_of_queue, 0, 0.1},
+      {"a report of a queue lowers the weight", report_of_queue, 0, 0.1},
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
@@ -127,14 +127,16 @@
   }
 }
 
-TEST_CASE("an endpoint without an idle connection of ours counts for less, by the cost of a handshake") {
+TEST_CASE("the cost of a handshake lowers the weight of an endpoint without an idle connection") {
   struct {
     const char* name;
     double handshake_cost;
     std::size_t connections_to_a;
     double min;
     double max;
-  } table[] = {{"none", 0.02, 0, 0.12, 0.28}, {"one", 0.02, 1, 0.43, 0.57}, {"at no cost", 0, 0, 0.43, 0.57}};
+  } table[] = {{"no connection", 0.02, 0, 0.12, 0.28},
+               {"one connection", 0.02, 1, 0.43, 0.57},
+               {"handshakes without cost", 0, 0, 0.43, 0.57}};
   for (const auto& row : table) {
     CAPTURE(row.name);
     LoadBalancerConfig config = test_config();
@@ -151,7 +153,7 @@
   }
 }
 
-TEST_CASE("another zone, and an endpoint that a key does not prefer, count for less") {
+TEST_CASE("endpoints in another zone or not preferred by the routing key have a lower weight") {
   LoadBalancerConfig config = test_config();
   config.cross_zone_cost = 0.1;
   const auto a_in_other_zone = [](LoadBalancerHarness& harness) {
@@ -171,12 +173,12 @@
   CHECK(max_sent > 75);
 }
 
-TEST_CASE("a crowded endpoint is drawn again once") {
+TEST_CASE("the draw is repeated once if it selects a crowded endpoint") {
   int sent_to_crowded = 0;
   for (int seed = 1; seed <= 300; ++seed) {
     LoadBalancerConfig config = test_config();
     for (MethodConfig& method : config.methods)
-      method.latency_objective_ms = 1e9;  // so that load hardly counts
+      method.latency_objective_ms = 1e9;  // so that load hardly affects the weight
     LoadBalancerHarness harness(config, static_cast<std::uint64_t>(seed));
     harness.update_endpoints({make_endpoint("a")});
     for (int i = 0; i < 9; ++i) {
@@ -191,14 +193,15 @@
   CHECK(sent_to_crowded < 300 * 0.2);  // a third without the second draw, a ninth with it
 }
 
-TEST_CASE("recency: a load balancer that sends seldom does not chase the endpoint it heard of longest ago") {
+TEST_CASE("recency does not make a load balancer that sends rarely favor the endpoint with the oldest send") {
   LoadBalancerConfig config = test_config();
   config.cross_zone_cost = 1;
   int changed = 0;
   constexpr int sidecar_count = 400;
   for (int seed = 1; seed <= sidecar_count; ++seed) {
     LoadBalancerHarness harness(config, static_cast<std::uint64_t>(seed));
-    // These are no choice, but with them 26 s pass between two sends to one endpoint.
+    // The cross-zone cost excludes these from the draw, but with them a mean of 26 s passes between two sends
+    // to one endpoint.
     auto endpoints = make_endpoints('c', 'z', "there");
     endpoints.push_back(make_endpoint("a"));
     endpoints.push_back(make_endpoint("b"));
@@ -214,5 +217,5 @@
       harness.run_maintenance_until(harness.now + 1000);
     }
   }
-  CHECK(changed < sidecar_count * 0.6);  // over 0.7 where recency doubles in a second
+  CHECK(changed < sidecar_count * 0.6);  // over 0.7 if recency doubled the weight each second
 }
--- a/tests/load_balancer_test.cpp
+++ b/tests/load_balancer_test.cpp
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-TEST_CASE("one final answer, in time, and nothing after it") {
+TEST_CASE("an RPC gets exactly one final answer before its deadline and no decision after it") {
   struct {
     const char* name;
     History history;
@@ -67,9 +67,9 @@
     Action first;
   } table[] = {
       {"no endpoint known", [](LoadBalancerHarness&) {}, 300, Action::reject},
-      {"none ready", list_none_ready, 300, Action::reject},
+      {"no endpoint ready", list_none_ready, 300, Action::reject},
       {"expired on arrival", list_a_and_b, 0, Action::reject},
-      {"an endpoint at hand", list_a_and_b, 300, Action::send_attempt},
+      {"an endpoint ready", list_a_and_b, 300, Action::send_attempt},
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
@@ -78,7 +78,7 @@
     const std::string id = harness.start_rpc("read", row.budget_ms);
     const Decision first = harness.only_decision();
     CHECK(first.action == row.first);
-    // A response after the latency objective is worth nothing.
+    // A response after the latency objective has no value.
     if (first.action == Action::send_attempt) CHECK(first.delay_ms <= 100);
     int final_answers = 0;
     int attempts = 0;
@@ -94,14 +94,14 @@
     }
     CHECK(final_answers == (row.first == Action::send_attempt ? 1 : 0));
     CHECK(attempts == 0);
-    // An outcome after the end.
+    // Reports on an RPC that has ended cause no decision.
     harness.load_balancer.on_attempt_finished(harness.now, id, 0, AttemptOutcome::ok, 400, false, {});
     harness.load_balancer.on_client_disconnected(harness.now, id);
     CHECK(harness.take_decisions().empty());
   }
 }
 
-TEST_CASE("equal due times, a client that disconnects, a response that has started") {
+TEST_CASE("RPCs due at the same time are answered in order unless a client left or a response started") {
   LoadBalancerHarness harness;
   harness.update_endpoints(make_endpoints('a', 'd'));
   std::vector<std::string> ids;
@@ -123,24 +123,25 @@
   CHECK(harness.take_decisions().empty());
 }
 
-TEST_CASE("a client's retry after its latency objective is rejected, as its time budget tells") {
-  // A client waits for 400 in all; each of its attempts has 310 of them, or what is left.
+TEST_CASE("a client's retry after its latency objective is recognized by its time budget and rejected") {
+  // A client waits 400 ms in total. The time budget of each of its attempts is 310 ms, or the rest if that is
+  // less.
   struct {
     const char* name;
     double deadline_ms;
     double late_weight;
-    int first_attempts;  // with 310
-    int others;          // of a second kind of client, with the budget of the row
+    int first_attempts;  // RPCs with a time budget of 310 ms
+    int others;          // RPCs of a second kind of client, with the budget of the row
     double budget_ms;
     Action action;
   } table[] = {
       {"a first attempt", 400, 0, 30, 0, 310, Action::send_attempt},
-      {"one that a busy process read late", 400, 0, 30, 0, 307, Action::send_attempt},
-      {"half of its objective is left", 400, 0, 30, 0, 350, Action::send_attempt},
-      {"its objective is over", 400, 0, 30, 0, 250, Action::reject},
-      {"other clients have that budget", 400, 0, 20, 3, 200, Action::send_attempt},
-      {"too few were seen", 400, 0, 10, 0, 250, Action::send_attempt},
-      {"a late response is worth something", 400, 0.5, 30, 0, 250, Action::send_attempt},
+      {"a first attempt that a busy process read late", 400, 0, 30, 0, 307, Action::send_attempt},
+      {"a retry with half of its objective left", 400, 0, 30, 0, 350, Action::send_attempt},
+      {"a retry after its objective", 400, 0, 30, 0, 250, Action::reject},
+      {"other clients have the same budget", 400, 0, 20, 3, 200, Action::send_attempt},
+      {"too few RPCs were seen", 400, 0, 10, 0, 250, Action::send_attempt},
+      {"a late response has some value", 400, 0.5, 30, 0, 250, Action::send_attempt},
       {"no deadline is known", 0, 0, 30, 0, 250, Action::send_attempt},
   };
   for (const auto& row : table) {
@@ -164,21 +165,22 @@
   }
 }
 
-TEST_CASE("rejection: at once, by what is known, and never for good") {
+TEST_CASE(
+    "an RPC is rejected at once if no response in time is expected but no endpoint is excluded permanently") {
   struct {
     const char* name;
     History history;
     const char* method;
     Action action;
   } table[] = {
-      {"every endpoint failed three times and more", errors_everywhere({}), "vital", Action::reject},
+      {"every endpoint failed at least three times", errors_everywhere({}), "vital", Action::reject},
       {"the same, but each reports nothing in flight", errors_everywhere({0}), "vital", Action::send_attempt},
       {"the same, and each reports much in flight", errors_everywhere({9}), "vital", Action::reject},
       {"an idle fleet", list_a_and_b, "read", Action::send_attempt},
-      {"long after timeouts nothing is locked out", long_after_timeouts, "read", Action::send_attempt},
+      {"no endpoint is excluded long after timeouts", long_after_timeouts, "read", Action::send_attempt},
       {"one slow response says little of the others", one_slow_response, "vital", Action::send_attempt},
       {"a queue too long for a low priority weight", two_in_flight, "read", Action::reject},
-      {"is still short enough for a high one", two_in_flight, "vital", Action::send_attempt},
+      {"the same queue with a high priority weight", two_in_flight, "vital", Action::send_attempt},
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
@@ -189,19 +191,20 @@
   }
 }
 
-TEST_CASE("a sidecar that knows nothing doesn't reject by its guess, one that saw slow responses does") {
+TEST_CASE("a sidecar does not reject by a guessed service time but rejects after slow responses") {
   struct {
     const char* name;
     int slow_responses;
     Action action;
-  } table[] = {{"nothing seen", 0, Action::send_attempt}, {"two slow responses seen", 2, Action::reject}};
+  } table[] = {{"no response seen", 0, Action::send_attempt}, {"two slow responses seen", 2, Action::reject}};
   for (const auto& row : table) {
     CAPTURE(row.name);
     int as_expected = 0;
     constexpr int seed_count = 50;
     for (int seed = 1; seed <= seed_count; ++seed) {
-      // The guess is a quarter of the longest latency objective: by it, half an RPC ahead, as is assumed of
-      // endpoints without a report, leaves an RPC of the short objective too little time.
+      // The guessed service time is a quarter of the longest latency objective. By this guess, half an RPC
+      // ahead, which is the load assumed of endpoints without a report, leaves too little time for an RPC
+      // with the short objective.
       LoadBalancerConfig config = test_config();
       config.methods[1].latency_objective_ms = 160;
       config.probes_report_load = true;
@@ -216,7 +219,7 @@
   }
 }
 
-TEST_CASE("a slow fleet is tried again after a silence, yet not by every quiet sidecar at once") {
+TEST_CASE("after a time without sends a slow fleet is tried again by some sidecars but not by all at once") {
   int first_sent = 0;
   int second_sent = 0;
   for (int seed = 1; seed <= 300; ++seed) {
@@ -231,6 +234,6 @@
     harness.start_rpc("vital");
     second_sent += is_first_sent && harness.only_decision().action == Action::send_attempt;
   }
-  CHECK((first_sent > 10 && first_sent < 60));  // all 300 where silence alone decides
+  CHECK((first_sent > 10 && first_sent < 60));  // all 300 if the silence alone decided
   CHECK(second_sent == 0);
 }
--- a/tests/support/load_balancer_histories.h
+++ b/tests/support/load_balancer_histories.h
@@ -1,5 +1,5 @@
 /// \file
-/// Test support: histories of a load balancer, and where its attempts go after them.
+/// Test support: histories of a load balancer, and the endpoints that it selects after them.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,8 @@
   harness.update_endpoints({make_endpoint("a"), make_endpoint("b")});
 }
 
-/// The fraction of first attempts that go to "a", over as many seeds, each after the same history.
+/// The fraction of first attempts that go to "a", for load balancers with `seed_count` different seeds and
+/// the same history.
 inline double fraction_sent_to_a(const History& history, const LoadBalancerConfig& config = test_config(),
                                  int seed_count = 600) {
   int sent_to_a = 0;
@@ -29,7 +30,7 @@
   return sent_to_a / static_cast<double>(seed_count);
 }
 
-/// Ends the first attempt of the RPC, if that is what is decided now.
+/// Ends the first attempt of the RPC if that attempt is the pending decision.
 inline void finish_first_attempt(LoadBalancerHarness& harness, const std::string& rpc_id,
                                  AttemptOutcome outcome, double duration_ms, bool is_concluded = true,
                                  const LoadReport& report = {}) {
