--- a/tests/endpoint_updates_test.cpp
+++ b/tests/endpoint_updates_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace host;  // NOLINT(google-build-using-namespace): test support
 
-TEST_CASE("nothing new to an endpoint that drains or is gone") {
+TEST_CASE("no new attempt is sent to an endpoint that is draining or gone") {
   for (const EndpointState state : {EndpointState::draining, EndpointState::gone}) {
     LoadBalancerHarness harness;
     list_a_and_b(harness);
@@ -23,7 +23,7 @@
   }
 }
 
-TEST_CASE("the endpoint list is polled, and after a failed poll again with growing backoff and jitter") {
+TEST_CASE("the endpoint list is polled and polled again after failures with growing backoff and jitter") {
   LoadBalancerConfig config = test_config();
   config.must_poll_endpoints = true;
   config.max_poll_silence_ms = 10000;
@@ -53,7 +53,8 @@
 
 namespace {
 
-// Sidecars that start at once, and whose polls then all fail at once.
+// Starts sidecars at the same time, then fails all their polls at the same time. After both, checks the
+// number of polls in each second.
 void check_polls_are_spread(std::optional<double> poll_duration_ms) {
   LoadBalancerConfig config = test_config();
   config.must_poll_endpoints = true;
@@ -80,7 +81,7 @@
         }
       max_polls = std::max(max_polls, polls);
     }
-    CHECK(all_polls == 100);  // and none is left out
+    CHECK(all_polls == 100);  // every sidecar polls once
     return max_polls;
   };
   CHECK(max_polls_per_second(6000) <= 35);
@@ -90,18 +91,21 @@
 
 }  // namespace
 
-TEST_CASE("many sidecars that start, or fail to get the list, at once don't poll it at once") {
+TEST_CASE(
+    "many sidecars that start or fail to get the list at the same time don't poll it at the same time") {
   check_polls_are_spread({});
 }
 
-// Fails: 43 polls in one second. The next poll starts within 3.5 s of the failed one's start, and with 100
-// sidecars all waits begin at a third of that: 100 polls in 2.3 s. The test above passes since a host that
-// can't tell how long a poll took, the simulator's, waits longer; a real sidecar always can.
+// This test fails: there are 43 polls in one second. The next poll starts within 3.5 s of the start of the
+// failed one, and with 100 sidecars all waits begin at a third of that, so the 100 polls fall within 2.3 s.
+// The test above passes because a host that can't tell how long a poll took, such as the simulator's, waits
+// longer; a real sidecar can always tell.
 TEST_CASE("many sidecars whose polls fail at once after a known time don't poll the list again at once") {
   check_polls_are_spread(0.0);
 }
 
-TEST_CASE("a poll whose failure took a known time is followed by the next within 3.5 s of its start") {
+TEST_CASE(
+    "after a failed poll of known duration the next one starts within 3.5 s of the failed one's start") {
   LoadBalancerConfig config = test_config();
   config.must_poll_endpoints = true;
   config.max_poll_silence_ms = 10000;
@@ -112,7 +116,7 @@
       config.sidecar_count = sidecar_count;
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         LoadBalancerHarness harness(config, seed);
-        harness.run_maintenance_until(harness.now + 6000);  // past the first poll
+        harness.run_maintenance_until(harness.now + 6000);  // after the first poll
         for (int failure = 0; failure < 8; ++failure) {
           const double poll_started_at = harness.now;
           harness.now += poll_duration_ms;
@@ -125,14 +129,13 @@
               has_polled = has_polled || decision.action == Action::poll_endpoints;
           }
           CHECK(harness.now - poll_started_at <= 3500 + 10);
-          CHECK(harness.now - poll_started_at >= poll_duration_ms + 100);  // nor without a pause
+          CHECK(harness.now - poll_started_at >= poll_duration_ms + 100);  // there is a pause between them
         }
       }
     }
 }
 
-TEST_CASE(
-    "a list that comes after its poll was reported as failed ends the polls, one without a poll does not") {
+TEST_CASE("a list that answers a poll reported as failed ends the polls but a list without a poll does not") {
   LoadBalancerConfig config = test_config();
   config.must_poll_endpoints = true;
   for (const bool answers_poll : {false, true}) {
@@ -151,7 +154,7 @@
   }
 }
 
-TEST_CASE("endpoints that left are forgotten: memory stays as it is under ever new ones") {
+TEST_CASE("departed endpoints are erased so that memory does not grow while endpoints are replaced") {
   LoadBalancerHarness harness;
   std::size_t early_bytes = 0;
   std::size_t late_bytes = 0;
--- a/tests/load_gossip_test.cpp
+++ b/tests/load_gossip_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// FNV-1a, as all sidecars have to compute it.
+// The gossip tag of an endpoint, by FNV-1a, as all sidecars have to compute it.
 std::uint32_t tag_of(const std::string& endpoint_id) {
   std::uint64_t hash = 14695981039346656037ULL;
   for (const unsigned char byte : endpoint_id) hash = (hash ^ byte) * 1099511628211ULL;
@@ -37,7 +37,7 @@
   return config;
 }
 
-// The fraction of first attempts that go to "a" of "a" and "b", after this gossip.
+// The fraction of first attempts that go to "a" rather than to "b" after this gossip.
 double fraction_sent_to_a_after(const std::optional<LoadGossip>& gossip) {
   constexpr int seed_count = 400;
   const auto history = [&](LoadBalancerHarness& harness) {
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("load gossip survives encoding and decoding") {
+TEST_CASE("decoding returns the encoded load gossip with values limited by their digits") {
   LoadGossip gossip;
   gossip.sequence = 8099;
   gossip.is_complete = false;
@@ -74,7 +74,7 @@
   CHECK(decoded->endpoint_loads[3].failures == 4);
 }
 
-TEST_CASE("load gossip fits 256 bytes of printable ASCII, however many endpoints there are") {
+TEST_CASE("load gossip fits 256 bytes of printable ASCII for any number of endpoints") {
   LoadGossip gossip;
   for (std::uint32_t i = 0; i < 500; ++i) gossip.endpoint_loads.push_back({i * 16, 5, 2});
   const std::string text = encode_load_gossip(gossip);
@@ -85,7 +85,7 @@
   CHECK(decoded->endpoint_loads.size() == 84);
 }
 
-TEST_CASE("what is truncated, of another format or too long is no load gossip") {
+TEST_CASE("bytes that are truncated or too long or of another format are not decoded as load gossip") {
   const std::string complete = encode_load_gossip(gossip_of(1, "a", 2));
   for (const std::string& bytes :
        {std::string(), std::string("x000"), complete.substr(0, complete.size() - 1), complete + "\x01",
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_CASE("peer load table: each message replaces what its sender said, and silence ends it") {
+TEST_CASE("peer load table: a message replaces its sender's values and those of a silent peer expire") {
   PeerLoadTable table;
   const std::uint32_t tag = tag_of("a");
   CHECK_FALSE(table.has_recent_gossip(0));
@@ -104,20 +104,20 @@
   CHECK(table.in_flight(tag) == 5);
   table.record_gossip(10, 1, gossip_of(6, "a", 1, 0, false));
   CHECK(table.in_flight(tag) == 3);
-  table.record_gossip(20, 1, gossip_of(6, "a", 9));  // doubled
+  table.record_gossip(20, 1, gossip_of(6, "a", 9));  // a duplicate
   table.record_gossip(20, 1, gossip_of(4, "a", 9));  // out of order
   CHECK(table.in_flight(tag) == 3);
-  table.record_gossip(30, 1, gossip_of(7, "b", 1));  // complete: nothing at "a" any more
+  table.record_gossip(30, 1, gossip_of(7, "b", 1));  // complete, and no longer lists "a"
   CHECK(table.in_flight(tag) == 2);
   table.record_gossip(1400, 1, gossip_of(8, "b", 1));
-  table.expire_silent_peers(1600);  // the second one is silent
+  table.expire_silent_peers(1600);  // peer 2 has been silent
   CHECK(table.in_flight(tag) == 0);
   CHECK(table.in_flight(tag_of("b")) == 1);
   CHECK(table.has_recent_gossip(1600));
   CHECK_FALSE(table.has_recent_gossip(4000));
 }
 
-TEST_CASE("peer load table: failures fade, and a tag out of range says nothing") {
+TEST_CASE("peer load table: failures decay and a tag out of range is ignored") {
   PeerLoadTable table;
   table.record_gossip(0, 1, gossip_of(5, "a", 0, 2));
   CHECK(table.failures(tag_of("a"), 0) == doctest::Approx(2));
@@ -129,14 +129,14 @@
 }
 
 TEST_CASE(
-    "the draw: peers' attempts in flight and failures count, an endpoint known by gossip alone gets none") {
+    "the draw counts attempts in flight and failures of peers and ignores gossip on unlisted endpoints") {
   CHECK(fraction_sent_to_a_after({}) == doctest::Approx(0.5).epsilon(0.15));
   CHECK(fraction_sent_to_a_after(gossip_of(1, "a", 3)) < 0.1);
   CHECK(fraction_sent_to_a_after(gossip_of(1, "a", 0, 4)) < 0.2);
   CHECK(fraction_sent_to_a_after(gossip_of(1, "stranger", 3)) == doctest::Approx(0.5).epsilon(0.15));
 }
 
-TEST_CASE("where gossip says that all endpoints are full, an RPC is rejected at once") {
+TEST_CASE("an RPC is rejected at once if gossip reports that all endpoints are full") {
   LoadBalancerHarness harness(gossiping_config());
   list_a_and_b(harness);
   for (const char* id : {"a", "b"}) harness.load_balancer.on_gossip(harness.now, id[0], gossip_of(1, id, 9));
@@ -151,7 +151,7 @@
   CHECK_FALSE(is_sent);
 }
 
-TEST_CASE("gossip tells what is in flight, then changes alone, and nothing where nothing changed") {
+TEST_CASE("gossip reports attempts in flight and later changes and is not sent if nothing changed") {
   LoadBalancerHarness harness(gossiping_config());
   harness.update_endpoints({make_endpoint("a")});
   const auto gossip_until = [&](double end) {
@@ -181,7 +181,7 @@
   for (const Decision& decision : alone.take_decisions()) CHECK(decision.action != Action::send_gossip);
 }
 
-TEST_CASE("a tenant's RPCs beyond its quota wait less than those inside it") {
+TEST_CASE("RPCs over a tenant's quota are rejected at shorter queues than RPCs within it") {
   int sent[2] = {0, 0};
   for (const bool is_over_quota : {false, true})
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -201,7 +201,7 @@
   CHECK(sent[1] < 20);
 }
 
-TEST_CASE("the first seconds after a hot restart: nothing to endpoints that left, slow start stays bounded") {
+TEST_CASE("after a hot restart nothing is sent to departed endpoints and slow start stays bounded") {
   for (const bool has_gossip : {false, true}) {
     CAPTURE(has_gossip);
     int slow_start = 0;
@@ -210,7 +210,7 @@
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       LoadBalancerHarness harness(gossiping_config(), seed);
       harness.now = 100000;
-      // What the parent process left: the list with its start times. Then the list's own update.
+      // First the list that the parent process left, with its start times, then an update of the list.
       harness.load_balancer.update_endpoints(
           harness.now, true, false,
           {make_endpoint("warm"), make_endpoint("cold", harness.now - 1000), make_endpoint("left")});
@@ -236,13 +236,13 @@
     CHECK(all > 700);
     CHECK(gone == 0);
     CHECK(slow_start > 0);
-    // Half the overload factor of 3 x a weight of 0.2 to 0.36 is a third to a half of a warm one's; the bound
-    // on the probability halves it.
+    // Half the overload factor of 3, times a weight of 0.2 to 0.36, is a third to a half of the share of a
+    // warm endpoint; the bound on the probability halves it.
     CHECK(slow_start < all / 2);
   }
 }
 
-TEST_CASE("settings of gossip and quotas: read where they stand, checked, and with defaults") {
+TEST_CASE("settings of gossip and quotas are decoded and validated and have defaults") {
   const LoadBalancerConfig defaults = decode_config("");
   CHECK_FALSE(defaults.gossip_enabled);
   CHECK_FALSE(defaults.clients_mark_retries);
@@ -265,7 +265,7 @@
   }
 }
 
-TEST_CASE("a list that a parent process leaves keeps start times and machine types") {
+TEST_CASE("an endpoint list that a parent process leaves keeps start times and machine types") {
   EndpointListUpdate update;
   update.complete = true;
   update.entries.push_back({make_endpoint("a", 5000), "127.0.0.1:1"});
