--- a/tests/probing_test.cpp
+++ b/tests/probing_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace host;  // NOLINT(google-build-using-namespace): test support
 
-TEST_CASE("load balancers that know nothing probe endpoints drawn at random, and stop once one is idle") {
+TEST_CASE("load balancers without observations probe endpoints at random and stop once one is idle") {
   LoadBalancerConfig config = test_config();
   config.probing_enabled = true;
   config.probes_report_load = true;
@@ -31,11 +31,11 @@
   }
   REQUIRE(probes > 0);
   for (const auto& [id, count] : probes_by_endpoint)
-    CHECK(count < probes / 4);  // ties by id would probe the same first ones
+    CHECK(count < probes / 4);  // ties broken by id would lead to probes of the same first endpoints
   CHECK(probes < 200 * 4);
 }
 
-TEST_CASE("a probe costs the handshake that it causes, too") {
+TEST_CASE("the cost of a probe includes the handshake that it causes") {
   int probing[2] = {};
   for (const double handshake_cost : {0.0, 0.1})
     for (int seed = 1; seed <= 200; ++seed) {
--- a/tests/retry_policy_test.cpp
+++ b/tests/retry_policy_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace host;  // NOLINT(google-build-using-namespace): test support
 
-TEST_CASE("no effect twice: what may follow an attempt that ended") {
+TEST_CASE("an attempt that ended is followed by another only if the RPC can't take effect twice") {
   using Safety = RetrySafety;
   using Scope = DeduplicationScope;
   using Outcome = AttemptOutcome;
@@ -33,16 +33,16 @@
        Outcome::connect_failed, 10, Action::send_attempt},
       {"non-idempotent, never ran, too late", Safety::non_idempotent, Scope::global, Outcome::rejected, 120,
        Action::reject},
-      {"deduplicated everywhere", Safety::idempotency_key, Scope::global, Outcome::error, 10,
+      {"deduplicated at all endpoints", Safety::idempotency_key, Scope::global, Outcome::error, 10,
        Action::send_attempt},
-      {"deduplicated in the zone, none left there", Safety::idempotency_key, Scope::zone, Outcome::error, 10,
-       Action::fail},
-      {"deduplicated in the cell, none left there", Safety::idempotency_key, Scope::cell, Outcome::reset, 10,
-       Action::fail},
+      {"deduplicated in the zone, no endpoint left there", Safety::idempotency_key, Scope::zone,
+       Outcome::error, 10, Action::fail},
+      {"deduplicated in the cell, no endpoint left there", Safety::idempotency_key, Scope::cell,
+       Outcome::reset, 10, Action::fail},
       {"deduplicated in the zone, never ran", Safety::idempotency_key, Scope::zone, Outcome::rejected, 10,
        Action::send_attempt},
-      {"deduplicated, beyond its window, too late", Safety::idempotency_key, Scope::zone, Outcome::error, 190,
-       Action::fail},
+      {"deduplicated, after the usable window, too late", Safety::idempotency_key, Scope::zone,
+       Outcome::error, 190, Action::fail},
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
@@ -55,12 +55,12 @@
     harness.load_balancer.on_attempt_finished(harness.now, id, 0, row.outcome, row.duration_ms, false, {});
     CHECK(harness.only_decision().action == row.next);
     harness.now += 300;
-    // Nothing more for a concluded RPC; one with an attempt outstanding is concluded.
+    // A concluded RPC gets no further decision; one with an attempt outstanding is concluded.
     CHECK(harness.take_decisions().size() <= 1);
   }
 }
 
-TEST_CASE("deduplicated: no retry once the endpoints may have forgotten the key") {
+TEST_CASE("a deduplicated RPC is not retried once the endpoints may have forgotten its key") {
   for (const double duration_ms : {150.0, 185.0}) {
     LoadBalancerConfig config = test_config(RetrySafety::idempotency_key);
     config.methods[0].latency_objective_ms = 1000;
@@ -75,14 +75,14 @@
   }
 }
 
-TEST_CASE("a retry has a send deadline inside the deduplication window, however its connection comes up") {
+TEST_CASE("a retry has a send deadline inside the deduplication window however long its connect takes") {
   struct {
     RetrySafety retry_safety;
     AttemptOutcome first_outcome;
-    double send_deadline_ms;  // after the first attempt
+    double send_deadline_ms;  // after the send of the first attempt
   } table[] = {
-      {RetrySafety::idempotency_key, AttemptOutcome::reset, 180},      // nine tenths of the window of 200
-      {RetrySafety::idempotency_key, AttemptOutcome::rejected, 1e17},  // that one never ran
+      {RetrySafety::idempotency_key, AttemptOutcome::reset, 180},      // nine tenths of the window of 200 ms
+      {RetrySafety::idempotency_key, AttemptOutcome::rejected, 1e17},  // the first one was not executed
       {RetrySafety::idempotent, AttemptOutcome::reset, 1e17},
       {RetrySafety::non_idempotent, AttemptOutcome::connect_failed, 1e17},
   };
@@ -102,7 +102,7 @@
   }
 }
 
-TEST_CASE("retries dry up where they do not succeed") {
+TEST_CASE("retries become rare if they do not succeed") {
   LoadBalancerHarness harness;
   list_a_and_b(harness);
   int early = 0;
@@ -122,7 +122,7 @@
   CHECK(late < 380 * 0.2);
 }
 
-TEST_CASE("a retry needs the fleet's retry quota, a first attempt does not") {
+TEST_CASE("a retry needs the fleet's retry quota but a first attempt does not") {
   struct {
     double retry_quota;
     int attempts;
@@ -140,7 +140,7 @@
       ++attempts;
     }
     CHECK(attempts == row.attempts);
-    // A quota that is used up keeps no RPC from its first attempt.
+    // An exhausted quota does not prevent the first attempt of an RPC.
     harness.start_rpc("vital");
     CHECK(harness.only_decision().action == Action::send_attempt);
   }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -7,13 +7,14 @@
 
 using namespace host;  // NOLINT(google-build-using-namespace): test support
 
-TEST_CASE("an endpoint in slow start: a first send costs no handshake, its service time is that of others") {
+TEST_CASE(
+    "the first send to an endpoint in slow start costs no handshake and uses the service time of others") {
   LoadBalancerConfig config = test_config();
   config.handshake_cost = 0.08;
   const auto beside_warm = [](int observed_count, double duration_ms) {
     return [=](LoadBalancerHarness& harness) {
       harness.now += 100000;
-      const double started_at = harness.now - 10000;  // 0.6 of a warm one
+      const double started_at = harness.now - 10000;  // weight 0.6 of 1
       for (int i = 0; i < observed_count; ++i) {
         harness.update_endpoints({make_endpoint("c" + std::to_string(i), started_at)});
         const std::string id = harness.start_rpc();
@@ -25,19 +26,20 @@
     };
   };
   const double unobserved = fraction_sent_to_a(beside_warm(0, 0), config);
-  CHECK(unobserved > 0.02);  // eight halvings more would leave it one in a few thousand
+  CHECK(unobserved > 0.02);  // with the eight halvings of a handshake it would be one in a few thousand
   CHECK(fraction_sent_to_a(beside_warm(10, 10), config) > 1.5 * unobserved);
   CHECK(fraction_sent_to_a(beside_warm(10, 80), config) < 0.5 * unobserved);
 }
 
-TEST_CASE("an endpoint in slow start is sent no more than its tokens, and a fleet that starts is not idle") {
+TEST_CASE(
+    "an endpoint in slow start gets no more attempts than its tokens and a starting fleet is not idle") {
   struct {
     const char* name;
     bool others_warm;
     int min;
     int max;
-  } table[] = {{"one among three, that can do 7 and must get less than 20", true, 0, 15},
-               {"all in slow start", false, 5, 200}};
+  } table[] = {{"one of three endpoints, which can serve 7 and must get fewer than 20", true, 0, 15},
+               {"all endpoints in slow start", false, 5, 200}};
   for (const auto& row : table) {
     CAPTURE(row.name);
     LoadBalancerHarness harness;
@@ -66,13 +68,12 @@
   }
 }
 
-TEST_CASE(
-    "beside a crowded warm endpoint one in slow start is used as it answers, and the crowd gets nothing") {
+TEST_CASE("an endpoint in slow start is used beside a crowded warm endpoint that gets nearly nothing") {
   LoadBalancerConfig config = test_config();
   config.probes_report_load = true;
   LoadBalancerHarness harness(config);
   harness.now = 100000;
-  // b does six tenths of a warm one's work, and nobody is there.
+  // "b" does six tenths of a warm endpoint's work, and no RPC of another sidecar is there.
   harness.update_endpoints({make_endpoint("a"), make_endpoint("b", harness.now - 10000)});
   std::map<std::string, int> sent;
   int rejected = 0;
@@ -94,12 +95,14 @@
   }
   CHECK(sent["a"] <= 5);
   CHECK(sent["b"] >= 50);
-  CHECK(sent["b"] <= 600);  // the bound: half of three times its weight, of all that the two get
+  CHECK(sent["b"] <= 600);  // the bound: half of three times its weight, over the weight of both
   CHECK(sent["a"] + sent["b"] + rejected == 1000);
 }
 
-TEST_CASE("many quiet sidecars: what all send to an endpoint in slow start stays under its overload factor") {
-  // Each sends but one RPC, none can know what the others send, and all prefer the endpoint in slow start.
+TEST_CASE(
+    "many sidecars with one RPC each stay together under the overload factor of an endpoint in slow start") {
+  // Each sidecar sends one RPC, can't know what the others send, and prefers the endpoint in slow start,
+  // which is the only one in its zone.
   LoadBalancerConfig config = test_config();
   config.slow_start_overload_factor = 2;
   config.cross_zone_cost = 1;
@@ -114,13 +117,14 @@
     harness.start_rpc("vital");
     sent += harness.only_decision().endpoint_id == "new";
   }
-  CHECK(sent > 0);  // nor is it left idle
+  CHECK(sent > 0);  // the endpoint is not left idle
   constexpr int fair_share = sidecar_count / 10;
   CHECK(sent < fair_share * 2 * 0.84);
 }
 
-TEST_CASE("many endpoints in slow start beside a crowd: what one may not get goes to others within bounds") {
-  // One of them is better than the rest by far, and all sidecars would use it; a load report says why.
+TEST_CASE(
+    "load above the bound of one endpoint in slow start goes to others in slow start within their bounds") {
+  // By its load report, one of them is better than the rest by far, so all sidecars would use it.
   LoadBalancerConfig config = test_config();
   config.probes_report_load = true;
   config.slow_start_overload_factor = 2;
@@ -145,21 +149,22 @@
     const Decision decision = harness.only_decision();
     if (decision.action == Action::send_attempt) ++sent[decision.endpoint_id];
   }
-  const double bound = sidecar_count * 0.5 * 2 * 0.6 / 7.6;  // half the factor, its weight of the fleet's
+  // Half the overload factor, times its share of the fleet's weight.
+  const double bound = sidecar_count * 0.5 * 2 * 0.6 / 7.6;
   int sent_to_slow_start = 0;
   for (char id = 'e'; id <= 'i'; ++id) {
     CHECK(sent[std::string(1, id)] < 1.3 * bound);
     sent_to_slow_start += sent[std::string(1, id)];
   }
   CHECK(sent_to_slow_start > 3.5 * bound);
-  CHECK(sent["j"] < 0.2 * bound);  // crowded itself
+  CHECK(sent["j"] < 0.2 * bound);  // it is crowded itself
 }
 
 TEST_CASE("a popular key does not overload its preferred endpoint in slow start") {
   LoadBalancerConfig config = test_config();
   config.key_affinity = true;
   auto endpoints = make_endpoints('a', 't');
-  const auto count_sent = [&](int sidecar_count) {  // all their RPCs have the one key
+  const auto count_sent = [&](int sidecar_count) {  // all RPCs have the same key
     std::map<std::string, int> sent;
     for (int seed = 1; seed <= sidecar_count; ++seed) {
       LoadBalancerHarness harness(config, static_cast<std::uint64_t>(seed));
@@ -176,5 +181,5 @@
   REQUIRE(sent_to_warm.at(preferred) > 40);
   for (Endpoint& endpoint : endpoints)
     endpoint.started_at_ms = endpoint.id == preferred ? 100000 - 12000 : 0;  // weight 0.68
-  CHECK(count_sent(400)[preferred] < 400 * 0.68);  // all of them where the bound is on the weights alone
+  CHECK(count_sent(400)[preferred] < 400 * 0.68);  // all of them if the bound applied to the weights alone
 }
