--- a/src/lease/leader_lease.cpp
+++ b/src/lease/leader_lease.cpp
@@ -10,13 +10,13 @@
 
 using Type = LeaseMessage::Type;
 
-/// As a fraction of a lease: a round without a majority within it is started anew, and candidates spread
-/// their rounds over as much.
+/// Fraction of the lease duration. A candidate starts a new round if the present one has no majority after
+/// this time plus a random delay of up to the same time, which spreads the rounds of different candidates.
 constexpr double round_timeout_fraction = 1.0 / 8;
-/// Each round that found no majority in its time doubles the next one's, as voters may be slow: up to half a
-/// lease, which leaves time to use it.
+/// Each round that times out without a majority doubles the timeout of the next one, as voters may be slow.
+/// The maximum is half a lease duration, which leaves time to use the lease.
 constexpr int max_timeout_doublings = 2;
-/// A lease is renewed when this fraction of it has passed: two more rounds can fail before it ends.
+/// A lease is renewed after this fraction of its duration, so that two more rounds can fail before it ends.
 constexpr double renewal_fraction = 1.0 / 3;
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
@@ -90,7 +90,7 @@
 void LeaderLease::request_votes(Milliseconds now, Type type) {
   const LeaseMessage request = make_message(type, round_ballot_);
   send_to_others(request);
-  // Its own vote counts like any other's, and comes last: it may complete the majority at once.
+  // This process votes like any other voter; its vote is taken last, as it may complete the majority at once.
   if (const auto reply = voter_.reply_to(now, request)) on_reply(now, config_.name, *reply);
 }
 
@@ -149,7 +149,8 @@
   }
 }
 
-// Another candidate is ahead, or holds the lease: the next round will be above all that is known.
+// Another candidate has a higher ballot or holds the lease. on_reply() has recorded the round of the
+// rejection, so that the next round is higher.
 void LeaderLease::on_rejection(Milliseconds now, const LeaseMessage& reply) {
   const bool is_held_by_another = reply.remaining_ms > 0 && reply.holder_session != session_;
   if (is_held_by_another && !is_held_) schedule_round(now, reply.remaining_ms);
@@ -188,8 +189,9 @@
 }
 
 void LeaderLease::hold_lease(Milliseconds now) {
-  // Counted from the first request of the round: voters count from their replies, which came later. A promise
-  // that a voter gave before its restart leads to a lease that is over by the time the voter votes again.
+  // The duration counts from the first request of the round; voters count it from their replies, which come
+  // later. If a voter restarts after its promise, the lease that results from this promise has therefore
+  // ended by the time the voter votes again.
   const Milliseconds counted_from = safeguards_.expire_from_round_start ? round_started_at_ : now;
   const Milliseconds expires_at = counted_from + config_.lease_duration_ms;
   if (now >= expires_at && safeguards_.check_expiry) return;
--- a/src/lease/leader_lease.h
+++ b/src/lease/leader_lease.h
@@ -1,12 +1,12 @@
 /// \file
-/// Leader election by a lease: at most one process holds it at a time, granted by a majority of a few named
-/// voters, none of which has a disk. After PaxosLease (Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless
-/// Paxos for Leases", 2012). No I/O; clock and random seed are given.
+/// Leader election by a lease. A majority of a few named voters grants the lease to at most one process at a
+/// time; voters keep nothing on disk. Based on PaxosLease (Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless
+/// Paxos for Leases", 2012). No I/O; the caller supplies the time and the random seed.
 ///
-/// Safety (never two holders) rests on three things alone: any two majorities share a voter; the rate of each
-/// clock stays within LeaseConfig::max_clock_drift of true time; is_holder() is called with the present time.
-/// It does not rest on synchronised clocks, on messages that arrive in time, in order or once, on timers that
-/// fire, nor on a view of the membership.
+/// Safety (never two holders) depends on three conditions only: any two majorities share a voter; the rate of
+/// each clock stays within LeaseConfig::max_clock_drift of true time; is_holder() is called with the present
+/// time. Safety does not depend on synchronised clocks, on messages that arrive in time, in order or exactly
+/// once, on timers that fire, or on a view of the membership.
 #pragma once
 
 #include <cstdint>
@@ -24,15 +24,15 @@
 
 namespace indigorill {
 
-/// One process' part in the election: candidate and holder, and voter if it is named as one. Only voters are
-/// candidates. All points in time are by this process' clock.
+/// One process' part in the election, as voter, candidate and holder. Only the named voters vote, and only
+/// they are candidates. All points in time are by this process' clock.
 class LeaderLease {
  public:
   using Config = LeaseConfig;
   using Safeguards = LeaseSafeguards;
 
   struct OutgoingMessage {
-    std::string recipient;  ///< a voter's name
+    std::string recipient;  ///< name of a voter
     LeaseMessage message;
   };
 
@@ -40,34 +40,35 @@
   LeaderLease(Config config, std::uint64_t session, std::uint64_t seed, Milliseconds now,
               Safeguards safeguards = {});
 
-  /// Takes in a message; one whose sender is no voter is dropped.
+  /// Handles a message; drops it if its sender is not a voter.
   void on_message(Milliseconds now, const std::string& sender, const LeaseMessage& message);
-  /// Starts a round if one is due; to be called at next_timer_at() or later.
+  /// Starts a round if one is due. To be called at next_timer_at() or later.
   void on_timer(Milliseconds now);
-  /// Asks for the lease, or for its renewal, at once.
+  /// Starts a round at once, to obtain the lease or to renew it.
   void start_round(Milliseconds now);
-  /// Infinite for a process that is no candidate.
+  /// Time when on_timer() is to be called; infinity for a process that is not a candidate.
   Milliseconds next_timer_at() const;
-  /// The next message to be sent, if any; to be called until there is none.
+  /// Removes and returns the next message to send, if any. To be called until there is none.
   std::optional<OutgoingMessage> next_message();
 
-  /// Whether this process is the leader at this very moment.
+  /// Whether this process is the leader at `now`, which must be the present time.
   bool is_holder(Milliseconds now) const;
-  /// The end of the lease; what the leader grants must not outlive it. Means something for the holder alone.
+  /// End of the lease; nothing that the leader grants may outlast it. Meaningful for the holder only.
   Milliseconds expires_at() const { return expires_at_; }
   const BallotNumber& held_ballot() const { return held_ballot_; }
-  /// From when on nothing that was granted under an earlier lease can still be in use.
+  /// Time from which nothing that was granted under an earlier lease can still be in use.
   Milliseconds previous_leases_expired_at() const { return previous_leases_expired_at_; }
-  /// Gives up the lease and the candidacy for good; nothing may be granted afterwards.
+  /// Gives up the lease and the candidacy permanently; the caller must not grant anything afterwards.
   void resign(Milliseconds now);
 
   bool is_voter() const { return is_voter_; }
   bool is_abstaining(Milliseconds now) const { return voter_.is_abstaining(now); }
-  /// Whom this process believes to be the holder, empty if nobody: a hint.
+  /// Name of the holder as far as this process knows, empty if it knows of none. Only a hint.
   std::string known_holder(Milliseconds now) const;
   /// Whether a reply of this type to this ballot can still count.
   bool is_awaiting(const BallotNumber& ballot, LeaseMessage::Type reply) const;
-  /// All that decides its behaviour from now on, randomness aside.
+  /// Digest of the state that decides the future behaviour, apart from the random generator, the times of
+  /// rounds and messages that are not sent yet.
   std::string state_digest(Milliseconds now) const;
 
  private:
@@ -84,7 +85,7 @@
   void send_to_others(const LeaseMessage& message);
   LeaseMessage make_message(LeaseMessage::Type type, const BallotNumber& ballot) const;
   void schedule_round(Milliseconds now, Milliseconds delay);
-  /// For how long a round waits for its majority.
+  /// Time that a round waits for a majority.
   Milliseconds round_timeout() const;
   bool is_candidate() const { return is_voter_ && !has_resigned_; }
   std::size_t majority() const { return config_.voters.size() / 2 + 1; }
@@ -100,14 +101,14 @@
   // The present round.
   Phase phase_ = Phase::idle;
   BallotNumber round_ballot_;
-  std::uint64_t highest_round_ = 0;  // of all that it heard of
+  std::uint64_t highest_round_ = 0;  // of this process and of all replies
   Milliseconds round_started_at_ = 0;
   Milliseconds next_round_at_;
-  int unanswered_rounds_ = 0;            // in a row
+  int unanswered_rounds_ = 0;            // rounds without a majority since the last prompt one
   std::set<std::string> supporters_;     // voters that agreed in this phase
-  Milliseconds reported_expiry_at_ = 0;  // of all earlier leases, by the promises of this round
+  Milliseconds reported_expiry_at_ = 0;  // end of all earlier leases, by the promises of this round
 
-  // The lease that it holds or held.
+  // The lease that this process holds or held last.
   bool is_held_ = false;
   Milliseconds expires_at_ = 0;
   Milliseconds previous_leases_expired_at_ = 0;
--- a/src/lease/lease_voter.cpp
+++ b/src/lease/lease_voter.cpp
@@ -26,7 +26,8 @@
 }
 
 LeaseMessage LeaseVoter::reply_to_propose(Milliseconds now, const LeaseMessage& request) {
-  // The candidate of the higher ballot may have been told by this voter that nobody holds the lease.
+  // This voter's promise for the higher ballot may have reported that there is no holder: accepting a lower
+  // ballot now could lead to two holders.
   if (rejects_lower_ballots_ && request.ballot < promised_ballot_)
     return make_reply(now, Type::rejected, promised_ballot_);
   promised_ballot_ = std::max(promised_ballot_, request.ballot);
@@ -43,7 +44,7 @@
   if (is_abstaining(now) || !accepted_lease_) return false;
   if (accepted_lease_->holder_session != message.holder_session || accepted_lease_->ballot > message.ballot)
     return false;
-  // Quotas that were granted under it may last until its end: accepted_leases_end_at_ still covers them.
+  // Quotas granted under the lease may last until its end, so accepted_leases_end_at_ still includes it.
   accepted_lease_->is_released = true;
   return true;
 }
