--- a/src/quota/demand_index.cpp
+++ b/src/quota/demand_index.cpp
@@ -27,7 +27,8 @@
 double DemandIndex::fair_share(const Demand& demand, double total, std::size_t turn) const {
   const std::size_t holders = size();
   if (holders == 0) return 0;
-  // Satisfied are, in order, those whose demand fits into an equal part of what those before them leave.
+  // In ascending order, a demand is satisfied if it fits into an equal part of the units that are left for it
+  // and the demands after it.
   const PrefixSum satisfied = longest_prefix([&](const Demand& other, const PrefixSum& before) {
     return other.units * static_cast<double>(holders - before.count) <= total - before.sum;
   });
@@ -36,7 +37,7 @@
   const bool all_satisfied = satisfied.count == holders;
   if (!all_satisfied && rank < satisfied.count) return demand.units;
 
-  // What is left goes in equal parts to those that are not satisfied; if all are, to all of them.
+  // The remainder goes in equal parts to the holders that are not satisfied; if all are satisfied, to all.
   const std::size_t recipients = all_satisfied ? holders : holders - satisfied.count;
   const std::size_t position = all_satisfied ? rank : rank - satisfied.count;
   const double left = total - satisfied.sum;
--- a/src/quota/quota_allocator.cpp
+++ b/src/quota/quota_allocator.cpp
@@ -8,8 +8,8 @@
 namespace indigorill {
 namespace {
 
-/// A holder that has sent no request for so many grant durations loses its place, unless it has something
-/// else.
+/// A holder that has sent no request for this number of grant durations loses its place, unless it is
+/// registered or has an outstanding grant.
 constexpr double silent_grant_durations = 2;
 
 QuotaConfig apply_safeguards(QuotaConfig config, const QuotaSafeguards& safeguards) {
@@ -26,11 +26,11 @@
       max_in_use_(config_.budgets.size()) {}
 
 void QuotaAllocator::start_term(Milliseconds now, Milliseconds previous_leases_expired_at) {
-  // What was spent at the end of earlier grants counts in the windows that reach over that end.
+  // Units spent just before earlier grants ended still count in the windows that extend beyond that end.
   may_grant_from_ = safeguards_.wait_for_previous_grants
                         ? std::max(now, previous_leases_expired_at) + longest_window_margin()
                         : now;
-  // Sidecars that it does not know of may have a guaranteed minimum for as long as a registration lasts.
+  // Sidecars unknown to this allocator may have a guaranteed minimum, for as long as a registration lasts.
   unknown_registrations_expired_at_ = now + config_.with_drift_margin(config_.registration_duration_ms);
 }
 
@@ -68,16 +68,16 @@
         std::min(request.registration_remaining_ms, config_.registration_duration_ms);
     holder.registered_until = std::max(holder.registered_until, now + config_.with_drift_margin(remaining));
   }
-  // The client never returns to a void grant; what it spent under one counts for one window more.
-  const Milliseconds void_grants_end_at = now + longest_window_margin();
+  // The client never uses a superseded grant again; units that it spent under one count for one more window.
+  const Milliseconds superseded_grants_end_at = now + longest_window_margin();
   for (OutstandingGrant& grant : holder.grants) {
     if (grant.request_number < request.oldest_grant_in_use)
-      grant.expires_at = std::min(grant.expires_at, void_grants_end_at);
+      grant.expires_at = std::min(grant.expires_at, superseded_grants_end_at);
   }
 }
 
 void QuotaAllocator::update_demands(QuotaHolder& holder, const QuotaRequest& request) {
-  // Up to this size sums of units are exact. NaN, which has no place in an order, counts as 0.
+  // With demands up to this size, sums of units are exact. NaN, which cannot be ordered, counts as 0.
   constexpr double max_demand = 1e9;
   for (std::size_t budget = 0; budget < request.demands.size(); ++budget) {
     const double requested = request.demands[budget];
@@ -117,16 +117,17 @@
   const auto turn = static_cast<std::size_t>(std::max(0.0, now / config_.grant_duration_ms));
   const double fair_share =
       demand_indexes_[budget].fair_share({holder.demands[budget], session}, total, turn);
-  // Decrease before increase: what others still may spend is theirs, whatever their fair share is now.
+  // Decrease before increase: units that other holders may still spend are not granted again, even if the
+  // fair shares of these holders are smaller now.
   const double others_in_use =
       safeguards_.count_outstanding_grants ? max_in_use_[budget] - holder.max_in_use[budget] : 0;
   return std::max(0.0, std::min(fair_share, total - others_in_use));
 }
 
-// Many requests in a short time must not fill the memory: two grants are merged into one that covers both,
-// which counts for more than they did and never for less.
+// Many requests in a short time must not fill the memory: beyond a fixed number, the two oldest grants are
+// merged into one that covers both, so that it counts for at least as much as they did.
 void QuotaAllocator::store_grant(QuotaHolder& holder, OutstandingGrant grant) {
-  // Three requests in a grant's duration and a window as long make six.
+  // Three requests per grant duration, and a window of the same length, make six grants.
   constexpr std::size_t max_grants = 32;
   if (holder.grants.size() >= max_grants) {
     OutstandingGrant& first = holder.grants[0];
@@ -152,7 +153,7 @@
   return holder;
 }
 
-// Drops what has ended, brings the sums up to date, and schedules the next review.
+// Removes expired grants, updates the sums of units in use, and schedules the next review.
 void QuotaAllocator::review_holder(std::uint64_t session, QuotaHolder& holder, Milliseconds now) {
   ++review_count_;
   std::erase_if(holder.grants, [&](const OutstandingGrant& grant) { return now >= grant.expires_at; });
@@ -166,7 +167,7 @@
   review_queue_.insert({holder.next_review_at, session});
 }
 
-// When the next of its grants ends, or its place if that comes first and has not ended yet.
+// Time when the holder's next grant ends, or when its place ends if that is earlier and still to come.
 Milliseconds QuotaAllocator::next_review_of(const QuotaHolder& holder, Milliseconds now) const {
   Milliseconds next = place_ends_at(holder);
   for (const OutstandingGrant& grant : holder.grants)
--- a/src/quota/quota_client.cpp
+++ b/src/quota/quota_client.cpp
@@ -14,11 +14,11 @@
       budgets_(config_.budgets.size()) {}
 
 QuotaRequest QuotaClient::make_request(Milliseconds now) {
-  constexpr std::size_t max_unanswered_requests = 16;  // an answer to an older one is dropped
+  constexpr std::size_t max_unanswered_requests = 16;  // replies to older requests are dropped
   ++last_request_number_;
   requested_at_[last_request_number_] = now;
   while (requested_at_.size() > max_unanswered_requests) requested_at_.erase(requested_at_.begin());
-  // Units that are held beyond the current grant are still held under the previous one.
+  // Units that are held in excess of the present allowance are still held under earlier grants.
   if (!holds_more_than_allowance(now)) oldest_grant_in_use_ = current_grant_;
   QuotaRequest request{.session = session_,
                        .request_number = last_request_number_,
@@ -39,7 +39,7 @@
 }
 
 double QuotaClient::update_demand(Milliseconds now, std::size_t budget) {
-  // A burst is remembered over the next few requests.
+  // A burst of demand affects the next few requests as well.
   constexpr double decay_per_request = 0.7;
   expire_history(now, budget);
   Usage& usage = budgets_[budget];
--- a/src/quota/quota_client.h
+++ b/src/quota/quota_client.h
@@ -1,9 +1,9 @@
 /// \file
-/// One sidecar's side of the quota: asks the allocator for a part of the fleet's budgets, and counts what the
-/// sidecar spends of it. No I/O; the clock is given.
+/// One sidecar's side of the quota: requests a part of the fleet's budgets from the allocator, and counts the
+/// units of it that the sidecar spends. No I/O; the caller supplies the time.
 ///
-/// Safety rests on a grant lasting from its request, by this process' clock, which is read at the very moment
-/// of each spending: see quota/quota_allocator.h.
+/// Safety requires that a grant lasts from its request, by this process' clock, and that this clock is read
+/// at the moment when a unit is spent: see quota/quota_allocator.h.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 namespace indigorill {
 
-/// A budget is named by its index in QuotaConfig::budgets.
+/// A budget is identified by its index in QuotaConfig::budgets.
 class QuotaClient {
  public:
   struct Counters {
@@ -29,37 +29,37 @@
   /// `session` identifies this run of the process and must never be used twice.
   QuotaClient(QuotaConfig config, std::uint64_t session, QuotaSafeguards safeguards = {});
 
-  /// The next request, to be sent to the leader.
+  /// Creates the next request, to be sent to the leader.
   QuotaRequest make_request(Milliseconds now);
-  /// Takes in a reply; one that is overtaken, or of another session, is dropped.
+  /// Handles a reply; drops it if a later request was granted already, or if it is of another session.
   void on_grant(Milliseconds now, const QuotaGrant& grant);
 
   /// Units that this sidecar may spend or hold: those granted and the guaranteed minimum.
   double allowance(Milliseconds now, std::size_t budget) const;
-  /// What is left of them.
+  /// Units of the allowance that are left.
   double available(Milliseconds now, std::size_t budget);
   /// Spends or holds one unit. False, and counted as denied, if none is available.
   bool try_acquire(Milliseconds now, std::size_t budget);
-  /// Counts one unit as wanted, without an attempt to acquire it.
+  /// Counts one unit as demanded without an attempt to acquire it.
   void record_demand(Milliseconds now, std::size_t budget);
-  /// Gives back a unit of a budget whose units are held.
+  /// Releases one unit of a budget whose units are held, not spent.
   void release(std::size_t budget);
 
   bool has_grant(Milliseconds now) const { return now < grant_expires_at_; }
   bool is_registered(Milliseconds now) const { return now < registered_until_; }
-  /// More sidecars than QuotaConfig::max_holders: this one has nothing.
+  /// True if the allocator refused this sidecar, as QuotaConfig::max_holders others have a place already.
   bool is_rejected_at_capacity() const { return rejected_at_capacity_; }
   const Counters& counters(std::size_t budget) const { return budgets_[budget].counters; }
   /// Two clients with the same digest behave alike from now on.
   std::string state_digest(Milliseconds now) const;
 
  private:
-  /// Of one budget.
+  /// This sidecar's use of one budget.
   struct Usage {
     double granted_amount = 0;
     double guaranteed_minimum = 0;
-    std::deque<Milliseconds> acquired_at;  // the latest window, or of all units that are held
-    std::deque<Milliseconds> demanded_at;  // the latest window, or grant duration
+    std::deque<Milliseconds> acquired_at;  // in the latest window, or of all units that are held
+    std::deque<Milliseconds> demanded_at;  // in the latest window or grant duration
     double smoothed_demand = 0;
     Counters counters;
   };
@@ -72,9 +72,9 @@
   QuotaSafeguards safeguards_;
   std::uint64_t session_;
   std::uint64_t last_request_number_ = 0;
-  std::uint64_t current_grant_ = 0;  // number of its request
+  std::uint64_t current_grant_ = 0;  // number of the request that was granted
   std::uint64_t oldest_grant_in_use_ = 0;
-  std::map<std::uint64_t, Milliseconds> requested_at_;  // of those not answered yet, by number
+  std::map<std::uint64_t, Milliseconds> requested_at_;  // of requests without a reply, by number
   Milliseconds grant_expires_at_ = 0;
   Milliseconds registered_until_ = 0;
   bool rejected_at_capacity_ = false;
