--- a/src/limits/fleet_limiter.cpp
+++ b/src/limits/fleet_limiter.cpp
@@ -8,16 +8,19 @@
 namespace indigorill {
 namespace {
 
-// Rates are divided by the second: shorter slots leave less than one RPC to divide, longer ones let a server
-// stand idle for longer. Connections by ten: some two idle timeouts, so that few are closed at a change.
+// Rates are divided in slots of one second: shorter slots leave less than one RPC to divide, longer ones
+// leave a server idle for longer. Connections are divided in slots of ten seconds, which is some two idle
+// timeouts, so that few connections are closed when the slot changes.
 constexpr double rate_slot_ms = 1000;
 constexpr double connection_slot_ms = 10000;
 constexpr double ms_per_second = 1000;
-// A window as long as a slot may meet two of them, and what was opened in one slot may be in use in the next.
+// A window as long as a slot can overlap two slots, and a connection that was opened in one slot may be in
+// use in the next.
 constexpr double slot_overlap = 2;
-// How often bad luck may exceed a limit: once in so many slots of one server.
+// Probability that the random division exceeds a limit in one slot of one server.
 constexpr double violation_probability = 1e-6;
-// At the very boundary the old slot could be met again, for ever.
+// Added to the delay until the next slot, since a retry exactly at the boundary could fall into the old slot
+// again each time.
 constexpr double slot_boundary_margin_ms = 1;
 
 constexpr double max_instances = 1e7;
@@ -31,18 +34,19 @@
   return bits ^ (bits >> 31);
 }
 
-// FNV-1a: the same at every instance.
+// FNV-1a, which gives the same hash at every instance.
 std::uint64_t hash_name(std::string_view name) {
   std::uint64_t hash = 14695981039346656037ULL;
   for (const char character : name) hash = (hash ^ static_cast<unsigned char>(character)) * 1099511628211ULL;
   return hash;
 }
 
-// In [0, 1).
+// Maps bits to a number in [0, 1).
 double unit_interval(std::uint64_t bits) { return static_cast<double>(mix_bits(bits) >> 11) * 0x1p-53; }
 
-// The mean that instances may have together at random, so that they hardly ever exceed the limit. The sum of
-// many small probabilities has no heavier a tail than Poisson's, whose tail is the incomplete gamma function.
+// Mean number of units drawn by all instances together at which they exceed the limit with
+// violation_probability. A sum of many independent draws of small probability has no heavier tail than the
+// Poisson distribution, whose tail is the incomplete gamma function.
 double mean_below_limit(double limit) {
   return limit < 1 ? 0 : boost::math::gamma_p_inv(std::floor(limit) + 1, violation_probability);
 }
@@ -62,16 +66,16 @@
   else if (!is_between(position.weight, min_weight, position.instances))
     error << "weight is " << position.weight << ", not 0.001 to the number of instances";
   else if (position.index && !is_whole_number(*position.index, 0, max_instances))
-    error << "turn is " << *position.index << ", not a whole number from 0";
+    error << "index is " << *position.index << ", not a whole number from 0";
   else if (position.index && position.weight != 1)
-    error << "weight and turn exclude each other";
+    error << "weight and index exclude each other";
   return error.str();
 }
 
 std::string describe_limit_error(const char* name, double limit) {
   if (limit == 0 || is_between(limit, 1, max_limit)) return {};
   std::ostringstream error;
-  error << name << " is " << limit << ", not 0 or from 1";
+  error << name << " is " << limit << ", neither 0 nor from 1 to " << max_limit;
   return error.str();
 }
 
@@ -98,12 +102,12 @@
 
 FleetLimiter::SlotShare FleetLimiter::divide_rate(double limit_per_second) const {
   if (limit_per_second <= 0) return {};
-  // Of a small limit at least one whole RPC is divided in a slot.
+  // For a small limit the slot is longer, so that at least one whole RPC is divided in it.
   const double slot_ms = std::max(rate_slot_ms, slot_overlap * rate_slot_ms / limit_per_second);
   return divide(limit_per_second * (slot_ms / ms_per_second), slot_ms);
 }
 
-// `limit`: in one slot.
+// `limit`: number of units in one slot.
 FleetLimiter::SlotShare FleetLimiter::divide(double limit, double slot_ms) const {
   if (limit <= 0) return {};
   const double budget = limit / slot_overlap;
@@ -120,14 +124,15 @@
 void FleetLimiter::update_endpoints(const std::vector<std::string>& servers) {
   endpoints_ = servers;
   std::sort(endpoints_.begin(), endpoints_.end());
-  // What was used at servers that are gone tells nothing more; connections there are still released.
+  // The usage at removed servers is no longer needed; connections to them stay counted until their release.
   std::erase_if(slot_usage_, [&](const auto& key_and_usage) {
     const std::string& server = key_and_usage.first.first;
     return !server.empty() && !std::binary_search(endpoints_.begin(), endpoints_.end(), server);
   });
 }
 
-// Each instance's slots begin at another moment: otherwise all that wait would ask in the same instant.
+// Each instance's slots begin at a different offset: otherwise all waiting instances would request at the
+// same instant.
 std::int64_t FleetLimiter::slot_number(Resource resource, double now_ms) const {
   return static_cast<std::int64_t>(
       std::floor(now_ms / share_of(resource).slot_ms + unit_interval(identity_)));
@@ -147,8 +152,8 @@
                          : has_extra_unit_at_random(resource, server, slot);
 }
 
-// The next slot belongs to the next instances. At another server the rotation stands elsewhere, evenly, so
-// that an instance has its turn at some server as often as can be.
+// With each slot the extra units pass to the next instances. The rotations of the servers start at evenly
+// spaced positions, so that an instance has an extra unit at some server as often as possible.
 bool FleetLimiter::has_extra_unit_in_rotation(double extra, std::string_view server,
                                               std::int64_t slot) const {
   const double instances = position_.instances;
@@ -160,8 +165,9 @@
   return place < extra;
 }
 
-// At random, but at as many of the servers in each slot as the probability says: where that is one or more,
-// an instance is never without any. Seen from a server, its instances are still drawn independently.
+// Chooses servers at random by systematic sampling: in each slot an instance has an extra unit at the
+// expected number of servers, rounded down or up, hence always at some server if that number is one or more.
+// At any one server the draws of different instances are still independent.
 bool FleetLimiter::has_extra_unit_at_random(Resource resource, std::string_view server,
                                             std::int64_t slot) const {
   const double extra = share_of(resource).extra;
--- a/src/limits/fleet_limiter.h
+++ b/src/limits/fleet_limiter.h
@@ -1,14 +1,14 @@
 /// \file
-/// Limits that all sidecars keep together, without talking to each other: what one of them may hold open and
-/// request, so that all of them stay under what a server and the discovery service can take. No I/O; clock
-/// and identity are given.
+/// Limits that all sidecars together observe without communication between them. Each sidecar has a part of
+/// the limits of a server (open connections, handshakes, health checks) and of the discovery service (polls).
+/// No I/O; the caller supplies the time and the sidecar's identity.
 ///
-/// Time is cut into slots. In each slot every instance has a guaranteed part of the limit, and the remainder
-/// goes to some of the instances: in rotation where each knows its index (exact), otherwise at random (with a
-/// margin for bad luck). Nothing is saved up, so that thousands that start in the same instant add up to no
-/// more.
+/// Time is divided into slots. In each slot every instance has a guaranteed part of the limit, and the
+/// remainder goes to some of the instances: in rotation if each instance knows its index (exact), otherwise
+/// at random (with a margin for random deviations). Unused parts do not accumulate, so that even thousands of
+/// instances that start at the same instant stay within the limit.
 ///
-/// Times are milliseconds on the clock of the wall, which all instances share but for a few milliseconds.
+/// Times are in milliseconds of the wall clock, which all instances share to within a few milliseconds.
 #pragma once
 
 #include <array>
@@ -23,25 +23,25 @@
 
 namespace indigorill {
 
-/// What a server, and the discovery service, can take from all instances together; 0: no limit.
+/// Limits of one server, and of the discovery service, for all instances together; 0: no limit.
 struct FleetLimits {
-  double connections = 0;                 ///< open at one server, in use or not
-  double handshakes_per_second = 0;       ///< at one server
-  double health_checks_per_second = 0;    ///< at one server
+  double connections = 0;                 ///< open connections to one server, idle ones included
+  double handshakes_per_second = 0;       ///< with one server
+  double health_checks_per_second = 0;    ///< of one server
   double discovery_polls_per_second = 0;  ///< of the discovery service
 };
 
-/// The place of one instance among all.
+/// The position of one instance among all instances.
 struct InstancePosition {
-  double instances = 1;           ///< how many share the limits, as far as it is told
-  double weight = 1;              ///< its part of the limits, in parts of an average instance
-  std::optional<double> index{};  ///< which of the instances it is, from 0; none: it does not know
+  double instances = 1;           ///< configured number of instances that share the limits
+  double weight = 1;              ///< this instance's part of the limits, relative to an average instance's
+  std::optional<double> index{};  ///< number of this instance, from 0; none if it is unknown
 };
 
-/// What is wrong with these values, in one line; none where they are valid.
+/// The first error in these values, in one line; none if they are valid.
 std::optional<std::string> find_limits_error(const FleetLimits& limits, const InstancePosition& position);
 
-/// The part of the limits that one instance has.
+/// One instance's part of the limits.
 class FleetLimiter {
  public:
   enum class Resource { connection, handshake, health_check, discovery_poll };
@@ -54,27 +54,27 @@
   /// `identity`: distinct for each instance. The limits and the position must be valid.
   FleetLimiter(const FleetLimits& limits, const InstancePosition& position, std::uint64_t identity);
 
-  /// All servers that there are.
+  /// Replaces the list of servers.
   void update_endpoints(const std::vector<std::string>& servers);
 
-  /// Whether it would be granted now. `server` is "" for discovery polls.
+  /// Whether acquire() would be granted now. `server` is "" for discovery polls.
   bool may_acquire(Resource resource, std::string_view server, double now_ms) const;
-  /// The same for a new connection, which takes a handshake as well.
+  /// Whether open_connection() would be granted now; a new connection requires a handshake as well.
   bool may_open_connection(std::string_view server, double now_ms) const;
 
-  /// Takes one where it is granted, otherwise counts it as denied.
+  /// Acquires one unit if that is granted, otherwise counts it as denied.
   bool acquire(Resource resource, std::string_view server, double now_ms);
-  /// Takes a connection and its handshake. Whoever took it releases it, however it ends.
+  /// Acquires a connection and its handshake. The caller has to release the connection, also if it fails.
   bool open_connection(std::string_view server, double now_ms);
   void release_connection(std::string_view server);
 
-  /// Whether all connections to the server may stay; otherwise idle ones have to be closed.
+  /// Whether all connections to the server may stay open; if not, idle ones have to be closed.
   bool within_connection_limit(std::string_view server, double now_ms) const;
-  /// How long until the next slot of the resource has begun.
+  /// Delay until the next slot of the resource has begun; 0 if the resource has no limit.
   double next_slot_delay_ms(Resource resource, double now_ms) const;
 
   const GrantCounts& counts(Resource resource) const { return counts_[static_cast<std::size_t>(resource)]; }
-  /// Over all servers.
+  /// Number of open connections to all servers.
   std::uint64_t open_connections() const;
 
  private:
@@ -82,8 +82,8 @@
   struct SlotShare {
     bool bounded = false;
     double slot_ms = 0;
-    double guaranteed = 0;  // for this instance
-    double extra = 0;  // in rotation: how many instances have one more; at random: with which probability
+    double guaranteed = 0;  // units of this instance
+    double extra = 0;  // in rotation: number of instances with one more unit; at random: probability of one
   };
   struct SlotUsage {
     std::int64_t slot = -1;
@@ -105,7 +105,7 @@
   std::uint64_t identity_;
   std::array<SlotShare, resource_count> shares_;
   std::array<GrantCounts, resource_count> counts_;
-  std::vector<std::string> endpoints_;  // in order of their names
+  std::vector<std::string> endpoints_;  // sorted by name
   std::map<std::string, std::uint64_t, std::less<>> connections_;
   std::map<std::pair<std::string, std::size_t>, SlotUsage> slot_usage_;  // by server and resource
 };
--- a/src/verification/state_digest.h
+++ b/src/verification/state_digest.h
@@ -1,6 +1,6 @@
 /// \file
-/// A text that stands for the state of an object, for exhaustive exploration in tests: two objects with the
-/// same digest behave alike from now on.
+/// A text digest of an object's state, for exhaustive exploration in tests: two objects with the same digest
+/// behave alike from now on.
 #pragma once
 
 #include <algorithm>
@@ -14,13 +14,13 @@
 
 namespace indigorill {
 
-/// Collects numbers into a text. Points in time are written relative to `now`, so that states which differ by
-/// a shift in time alone are equal.
+/// Collects numbers into a text. Points in time are written relative to `now`, so that states that differ
+/// only by a shift in time have equal digests.
 class StateDigest {
  public:
   explicit StateDigest(Milliseconds now) : now_(now) {}
 
-  /// To a sixteenth; what differs by less is taken for equal.
+  /// Writes a value, truncated to a multiple of 1/16: values with the same multiple are taken as equal.
   StateDigest& put(double value) {
     constexpr double steps_per_unit = 16;
     std::array<char, 32> digits;
@@ -30,9 +30,9 @@
     return *this;
   }
   StateDigest& put_integer(std::uint64_t value) { return put(static_cast<double>(value)); }
-  /// The time left until `when`; all that is past is equal.
+  /// Writes the time left until `when`; all points in the past are equal.
   StateDigest& put_remaining(Milliseconds when) { return put(std::max(0.0, when - now_)); }
-  /// The time since `when`; all that is longer ago than `limit` is equal.
+  /// Writes the time since `when`; all points longer ago than `limit` are equal.
   StateDigest& put_elapsed(Milliseconds when, Milliseconds limit) {
     return put(std::min(now_ - when, limit));
   }
