--- a/tests/leader_lease_model_test.cpp
+++ b/tests/leader_lease_model_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The leader lease, explored exhaustively within bounds. Drives the production code.
+/// Explores all states of the production code of the leader lease exhaustively, within bounds.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,14 +15,14 @@
 namespace indigorill {
 namespace {
 
-// Three voters, each with a clock at one bound of the drift; two of them may start a round, at any moment.
-// What was sent stays in the network for good: it is delivered at any later moment, never, or many times. A
-// paused process is one to which nothing is delivered. Any may restart and lose its state.
+// The model has three voters, each with a clock at one bound of the drift. Two of them may start a round at
+// any moment. Sent messages stay in the network: each is delivered at any later moment, never, or many times.
+// A paused process is one to which nothing is delivered. Any process may restart and lose its state.
 
 constexpr std::size_t process_count = 3;
 const std::vector<std::string> process_names{"a", "b", "c"};
 
-/// How often each may happen in one run.
+/// Maximum number of steps of each kind in one run.
 struct StepLimits {
   int ticks = 0;
   int rounds = 0;
@@ -53,7 +53,7 @@
 
 using MessageId = std::uint16_t;
 
-/// Every message that was ever sent in any state, once: a state refers to them by id.
+/// Stores each distinct message that is sent in any state once; states refer to messages by id.
 class MessageRegistry {
  public:
   MessageId id_of(const SentMessage& message) {
@@ -89,7 +89,7 @@
   State first_state(const StepLimits& limits) {
     State state;
     state.left = limits;
-    // Started long enough ago to vote.
+    // The voters started long enough ago to vote.
     for (std::size_t process = 0; process < process_count; ++process)
       replace_lease(state, process, make_lease(process, process, -2 * lease_duration_ms));
     return state;
@@ -124,7 +124,7 @@
   }
 
  private:
-  // A slow clock advances by two in a tick, a fast one by four: a third off the mean is the stated bound.
+  // A slow clock advances by two in a tick, a fast one by four: both are off the mean by a third, the bound.
   static constexpr double max_clock_drift = 1.0 / 3;
   static constexpr Milliseconds lease_duration_ms = 4;
 
@@ -137,8 +137,8 @@
   void replace_lease(State& state, std::size_t process, LeaderLease lease) const {
     ElectionState::Process& replaced = state.processes[process];
     while (auto outgoing = lease.next_message()) {
-      // A rejection only makes its candidate start another round, which it may do here at any moment; so does
-      // what remains of a lease, and what was granted under earlier leases matters to the quota alone.
+      // Rejections and remaining lease times only affect when a candidate starts another round, which it may
+      // do at any moment in this model. The remaining time of previous leases matters to the quota only.
       if (outgoing->message.type == LeaseMessage::Type::rejected) continue;
       outgoing->message.remaining_ms = 0;
       outgoing->message.previous_leases_remaining_ms = 0;
@@ -155,7 +155,7 @@
     });
   }
 
-  // A reply to a round that its candidate has left behind never counts again.
+  // A reply to a round that is no longer its candidate's present one can never count.
   static bool is_useless_reply(const LeaderLease& lease, const LeaseMessage& message) {
     const bool is_reply =
         message.type == LeaseMessage::Type::promise || message.type == LeaseMessage::Type::accepted;
@@ -250,7 +250,7 @@
   }
 }
 
-TEST_CASE("lease model: without any one safeguard two holders are found, and the steps that lead there") {
+TEST_CASE("lease model: switching off a safeguard leads to a state with two holders") {
   using Safeguards = LeaderLease::Safeguards;
   struct {
     const char* name;
--- a/tests/leader_lease_test.cpp
+++ b/tests/leader_lease_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The leader lease on an emulated network, at random. Drives the production code.
+/// Randomised tests of the production code of the leader lease on an emulated network.
 #include "lease/leader_lease.h"
 
 #include <doctest/doctest.h>
@@ -76,7 +76,7 @@
   double late_probability = 0;
   Milliseconds min_latency_ms = 1;
   Milliseconds longest_without_holder = 0;
-  std::size_t max_holders = 0;  // at one time
+  std::size_t max_holders = 0;  // largest number at the same time
 
  private:
   static constexpr double duplicate_probability = 0.1;
@@ -120,13 +120,13 @@
         lease(recipient).on_message(clock(recipient), arrived.sender, arrived.message);
         send_outgoing(recipient);
       } else if (is_up(recipient)) {
-        // A paused process finds its messages when it goes on.
+        // A paused process receives its messages when it resumes.
         arrived.arrives_at = processes_[recipient].paused_until;
         network_.push(std::move(arrived));
       }
     }
   }
-  // A paused process counts too: it would go on with what it holds.
+  // Paused processes are included: after resuming, a process would still act on a lease that it holds.
   void count_holders() {
     std::size_t holders = 0;
     for (std::size_t process = 0; process < size(); ++process) {
@@ -148,7 +148,8 @@
 
 }  // namespace
 
-TEST_CASE("lease: there is a holder soon, and its death leaves at most two lease durations without one") {
+TEST_CASE(
+    "lease: a holder elected within three lease durations stays until it stops and is replaced within two") {
   RandomizedCluster cluster(5, 3);
   cluster.run(3000);
   REQUIRE(cluster.max_holders == 1);
@@ -169,10 +170,11 @@
   CHECK(cluster.max_holders == 1);
 }
 
-// Voters that answer steadily, past the time that a round was given: a round takes four one-way times. Each
-// round was given up after an eighth to a quarter of a lease (125 to 250 ms here) and began from nothing with
-// a higher ballot, so that no reply could count: with 70 ms one way there was no holder in 60 s.
-TEST_CASE("lease: voters that are slow and steady elect a holder, and keep it") {
+// Guards against rounds that time out before the replies of slow but steady voters arrive. A round takes four
+// one-way latencies. Each round used to end after an eighth to a quarter of a lease (125 to 250 ms here) and
+// the next one started from the beginning with a higher ballot, so that no reply counted: with a one-way
+// latency of 70 ms there was no holder in 60 s.
+TEST_CASE("lease: voters with a high steady latency have a holder with gaps of at most two lease durations") {
   for (const Milliseconds one_way_ms : {30.0, 50.0, 70.0, 90.0})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       CAPTURE(one_way_ms);
@@ -188,11 +190,11 @@
     }
 }
 
-TEST_CASE("lease: a holder that resigns has a successor at once, which knows when the former lease ends") {
+TEST_CASE("lease: a resigned holder is replaced within half a lease by one that knows the former expiry") {
   RandomizedCluster cluster(3, 5);
   cluster.run(3000);
-  constexpr std::size_t nobody = 9;
-  std::size_t former = nobody;
+  constexpr std::size_t no_process = 9;
+  std::size_t former = no_process;
   for (std::size_t process = 0; process < cluster.size(); ++process) {
     if (cluster.is_holder(process)) former = process;
   }
@@ -207,7 +209,7 @@
   CHECK(cluster.longest_without_holder < 500);
   for (std::size_t process = 0; process < cluster.size(); ++process) {
     if (process == former || !cluster.is_holder(process)) continue;
-    // What the former holder granted may be in use for the rest of its lease.
+    // Quotas that the former holder granted may be in use for the rest of its lease.
     CHECK(cluster.lease(process).previous_leases_expired_at() > cluster.clock(process) - 900);
     former = process;
   }
@@ -216,7 +218,7 @@
 
 namespace {
 
-/// Delivers what `sender` has to say to `recipient`, and drops the rest.
+/// Delivers the outgoing messages of `sender` to `recipient`, and drops those to others.
 void deliver(LeaderLease& sender, const std::string& sender_name, LeaderLease& recipient,
              const std::string& recipient_name, Milliseconds now) {
   while (auto outgoing = sender.next_message()) {
@@ -230,7 +232,7 @@
 
 }  // namespace
 
-TEST_CASE("lease: a holder that restarts is not the holder that it was") {
+TEST_CASE("lease: a restarted holder does not take its former lease for its own") {
   for (const bool is_guarded : {true, false}) {
     CAPTURE(is_guarded);
     LeaderLease::Safeguards safeguards;
@@ -248,7 +250,7 @@
     voter.on_message(0, "a", from_former);
     drop_outgoing(voter);
     drop_outgoing(restarted);
-    // The messages of a first round are lost.
+    // The messages of the first round are lost.
     restarted.start_round(10);
     drop_outgoing(restarted);
     restarted.start_round(10);
@@ -262,8 +264,8 @@
 }
 
 TEST_CASE(
-    "lease: never two holders at random: loss, late and duplicate messages, restarts, pauses, clocks at the "
-    "bound") {
+    "lease: there are never two holders at a time under random message loss and delays and duplicates and "
+    "restarts and pauses with clocks at the drift bound") {
   std::uint64_t stops = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     CAPTURE(seed);
--- a/tests/support/state_explorer.h
+++ b/tests/support/state_explorer.h
@@ -14,9 +14,9 @@
 
 struct Exploration {
   std::size_t state_count = 0;
-  std::vector<std::string> trace;  ///< the steps to a forbidden state; empty if none was reached
+  std::vector<std::string> trace;  ///< steps to a forbidden state; empty if none was reached
 
-  /// The trace, a step a line.
+  /// The trace, with one step per line.
   std::string trace_text() const {
     std::string text;
     for (const std::string& step : trace) text.append("\n    ").append(step);
@@ -24,10 +24,9 @@
   }
 };
 
-/// A model gives the state to start from, and three functions: `key(state)`, a text that is equal for states
-/// that behave alike; `is_forbidden(state)`; and `expand(state, reach)`, which calls `reach(next, step)` for
-/// each next state with the name of the step that leads to it. The exploration ends at the first forbidden
-/// state.
+/// A model has a type `State` and three functions: `key(state)` returns a text that is equal for states that
+/// behave alike; `is_forbidden(state)`; and `expand(state, reach)` calls `reach(next, step)` for each next
+/// state, with the name of the step that leads to it. The exploration ends at the first forbidden state.
 template <class Model>
 class StateExplorer {
  public:
@@ -71,7 +70,7 @@
   }
 
   const Model& model_;
-  std::vector<Step> steps_;  // by state; the first has none
+  std::vector<Step> steps_;  // step that led to each state, by state; the first state has none
   std::unordered_set<std::string> seen_;
   std::queue<std::pair<std::size_t, State>> queue_;
   bool found_forbidden_ = false;
