--- a/tests/quota_model_test.cpp
+++ b/tests/quota_model_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The quota: never more than the total in use, by an exhaustive exploration. Drives the production code.
+/// Explores all states of the quota's production code within bounds, and checks that the total is kept.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -15,8 +15,8 @@
 namespace indigorill {
 namespace {
 
-// Up to three clients, a budget of two units, and a lease that passes from one allocator to another. What was
-// sent stays in the network for good: it is delivered at any later moment, never, or many times.
+// The model has up to three clients, a budget of two units, and a lease that passes from one allocator to
+// another. Sent messages stay in the network: each is delivered at any later moment, never, or many times.
 
 constexpr std::size_t allocator_count = 2;
 constexpr double explored_total = 2;
@@ -57,14 +57,14 @@
 struct FleetState {
   std::vector<QuotaClient> clients;
   std::vector<QuotaAllocator> allocators;
-  std::map<std::string, SentMessage> sent;  // all that was ever sent, by its text
+  std::map<std::string, SentMessage> sent;  // all messages that were sent, by text
   int tick = 0;
   std::vector<int> requests_left;  // by client
 };
 
-/// The first allocator's lease ends, in true time, at the latest at the tick of its expiry by the holder's
-/// clock; the second allocator's term begins there. That no two are leaders at once is shown by the lease's
-/// own model.
+/// In true time the first allocator's lease ends no later than the tick at which it expires by the holder's
+/// clock. The second allocator's term begins at that tick, or earlier after a resignation. The model of the
+/// lease shows that there are never two leaders at a time.
 class FleetModel {
  public:
   using State = FleetState;
@@ -127,7 +127,7 @@
   }
 
  private:
-  static constexpr Milliseconds lease_end = 8;  // of the first allocator, by its clock
+  static constexpr Milliseconds lease_end = 8;  // end of the first allocator's lease, by its clock
   static constexpr Milliseconds far_lease_end = 1000;
 
   Milliseconds client_clock(std::size_t client, int tick) const {
@@ -216,8 +216,7 @@
   }
 }
 
-TEST_CASE(
-    "quota model: without any one safeguard more than the total is in use, and the steps that lead there") {
+TEST_CASE("quota model: switching off any one safeguard leads to a state with more than the total in use") {
   struct {
     const char* name;
     std::array<double, allocator_count> allocator_clock_rates;
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The quota: fairness by tables, and never more than the total in use at random. Drives the production code.
+/// Tests of the production code of the quota: fairness, by tables, and randomised tests of the total.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -31,7 +31,7 @@
     allocator.start_term(now, now);
   }
 
-  /// Each client demands so many units in each round; three rounds in a grant's duration.
+  /// Runs rounds in which each client demands the given number of units; a grant lasts three rounds.
   void run_rounds(const std::vector<int>& demands, int rounds = 40) {
     for (int round = 0; round < rounds; ++round) {
       for (std::size_t client = 0; client < clients.size(); ++client) run_client(client, demands[client]);
@@ -39,7 +39,7 @@
     }
   }
 
-  /// By client, in the latest round.
+  /// Allowance of each client in the latest round.
   std::vector<int> allowances() const {
     std::vector<int> units;
     for (const QuotaClient& client : clients)
@@ -73,7 +73,9 @@
 
 }  // namespace
 
-TEST_CASE("quota: max-min fair by demand; the busy one is not cut to the mean; the least have a unit") {
+TEST_CASE(
+    "quota: allowances are max-min fair by demand and a busy client exceeds the mean and each client has a "
+    "unit") {
   struct {
     double total;
     std::vector<int> demands;
@@ -95,7 +97,7 @@
   }
 }
 
-TEST_CASE("quota: a budget smaller than the fleet is granted by turns") {
+TEST_CASE("quota: a budget with fewer units than clients is granted to the clients in turn") {
   DirectFleet fleet(config_of({"polls", 2, 0, 500}, 10, 1000, 60000), 6);
   std::vector<int> granted(6);
   for (int turn = 0; turn < 60; ++turn) {
@@ -108,13 +110,12 @@
 }
 
 TEST_CASE(
-    "quota: the guaranteed minimum lasts without an allocator, goes to registered sidecars alone, and ends "
-    "with "
-    "the registration") {
+    "quota: registered sidecars alone have the guaranteed minimum which lasts without an allocator until the "
+    "registration ends") {
   DirectFleet fleet(config_of({"attempts", 20, 2, 1000}, 5, 2000, 30000), 6);
   const std::vector<int> demands(6, 50);
   fleet.run_rounds(demands, 3);
-  CHECK_FALSE(fleet.clients[0].is_registered(fleet.now));  // a new allocator does not know who else is
+  CHECK_FALSE(fleet.clients[0].is_registered(fleet.now));  // a new allocator does not know which sidecars are
   fleet.run_rounds(demands, 60);
   int registered = 0;
   int rejected = 0;
@@ -137,21 +138,21 @@
   CHECK(client.allowance(fleet.now, 0) == 0);
 }
 
-TEST_CASE("quota: a client that was paused between its request and its spending finds its grant expired") {
+TEST_CASE("quota: a grant has expired for a client that was paused between its request and its spending") {
   DirectFleet fleet(config_of({"attempts", 10, 0, 1000}, 5, 2000, 30000), 1);
   fleet.run_rounds({50});
   QuotaClient& client = fleet.clients[0];
   const Milliseconds paused_at = fleet.now;
   CHECK(client.available(paused_at, 0) > 0);
   CHECK_FALSE(client.try_acquire(paused_at + 5000, 0));
-  // A grant from before the pause, taken in after it, is worth nothing either.
+  // A grant that was made before the pause and is received after it has expired as well.
   const QuotaRequest request = client.make_request(fleet.now);
   const QuotaGrant grant = fleet.allocator.handle_request(fleet.now, endless_lease, request);
   client.on_grant(fleet.now + 5000, grant);
   CHECK(client.allowance(fleet.now + 5000, 0) == 0);
 }
 
-TEST_CASE("quota: a lowered total is kept to when the grants under the old one have ended") {
+TEST_CASE("quota: a lowered total is observed once the grants under the old total have ended") {
   DirectFleet fleet(config_of({"attempts", 100, 0, 1000}, 5, 2000, 30000), 4);
   const std::vector<int> demands(4, 90);
   fleet.run_rounds(demands);
@@ -163,12 +164,13 @@
   CHECK(fleet.total_allowance() >= 16);
 }
 
-// ---- At random --------------------------------------------------------------------------------------------
+// ---- Randomised tests -------------------------------------------------------------------------------------
 
 namespace {
 
-/// Clients with clocks at both bounds of the drift; requests and grants lost, duplicated and late; allocators
-/// that succeed each other, at the end of a lease or earlier; each client spends whenever it may.
+/// Clients have clocks at both bounds of the drift and restart; requests are lost, duplicated and delayed,
+/// and grants are delayed. Allocators succeed each other, at the end of a lease or earlier. Clients try to
+/// spend units at random, whether they may or not.
 class RandomizedFleet {
  public:
   explicit RandomizedFleet(std::uint64_t seed) : random_(seed) {
@@ -215,7 +217,7 @@
     clients_[client] = std::make_unique<QuotaClient>(make_config(), ++last_session_);
   }
 
-  // At the end of a term; what was granted in it ends with its lease, which may be later.
+  // Called at the end of a term. The term's grants end with its lease, which may be later.
   void change_leader() {
     const Milliseconds previous_lease_ends_at = term_started_at_ + lease_duration_ms;
     leader_ = 1 - leader_;
@@ -278,13 +280,13 @@
   Milliseconds term_started_at_ = 0;
   Milliseconds term_ends_at_ = 5000;
   std::vector<MessageInFlight> network_;
-  std::deque<Milliseconds> spent_at_;  // the latest window
+  std::deque<Milliseconds> spent_at_;  // times of spending in the latest window
   std::uint64_t spent_in_all_ = 0;
 };
 
 }  // namespace
 
-TEST_CASE("quota: never more than the total in any window, at random") {
+TEST_CASE("quota: units spent in any window never exceed the total under random faults") {
   constexpr Milliseconds duration_ms = 60000;
   std::uint64_t spent_in_all = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
