--- a/bench/decision.cpp
+++ b/bench/decision.cpp
@@ -1,5 +1,6 @@
-// Benchmark: what one RPC costs a sidecar in decisions, by the number of endpoints, from its arrival to the
-// end of its attempt. Run with --benchmark_repetitions=10 for the spread.
+/// \file
+/// Benchmark of the load balancer's decisions for one RPC, from its arrival to the end of its attempt, by the
+/// number of endpoints. Run with --benchmark_repetitions=10 for the spread.
 #include <benchmark/benchmark.h>
 
 #include <cstdint>
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -1,6 +1,8 @@
-// What parts of the control cost by the size of the fleet, with the complexity fitted: one answer of the
-// quota's allocator, one datagram into and out of the membership, one list of endpoints taken in whole and by
-// change. A decision is in decision.cpp. Run with --benchmark_repetitions=5 for the spread.
+/// \file
+/// Benchmarks by the size of the fleet, with a fitted complexity: one request to the quota allocator, one
+/// datagram into and out of the membership, one period of the membership, one complete endpoint list, and one
+/// change of the list. The benchmark of a decision is in decision.cpp. Run with --benchmark_repetitions=5 for
+/// the spread of the results.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -15,16 +17,19 @@
 namespace indigorill {
 namespace {
 
-std::string named(const char* what, std::size_t i) { return std::string(what).append(std::to_string(i)); }
-std::string place(std::size_t i) {
-  std::string s("10.");
-  for (const std::size_t part : {i / 62500 % 250, i / 250 % 250}) s.append(std::to_string(part)).append(".");
-  return s.append(std::to_string(i % 250)).append(":7900");
+std::string numbered(const char* prefix, std::size_t i) {
+  return std::string(prefix).append(std::to_string(i));
+}
+std::string address_of(std::size_t i) {
+  std::string address("10.");
+  for (const std::size_t part : {i / 62500 % 250, i / 250 % 250})
+    address.append(std::to_string(part)).append(".");
+  return address.append(std::to_string(i % 250)).append(":7900");
 }
 
 constexpr Milliseconds endless_lease = 1e18;
 
-/// An allocator and its clients without a network: all ask in turn, three times in a grant's duration.
+/// An allocator and its clients without a network. All clients request in turn, thrice per grant duration.
 class DirectFleet {
  public:
   explicit DirectFleet(std::size_t size)
@@ -40,7 +45,7 @@
     allocator_.start_term(now_, now_);
   }
 
-  /// One request of the next client. Uneven: one in a hundred demands many times as much.
+  /// Runs one request of the next client. Demands are uneven: one client in a hundred has a far greater one.
   void run_next_request() {
     QuotaClient& client = clients_[next_client_];
     const std::size_t demand = next_client_ % 100 == 0 ? 50 : next_client_ % 3;
@@ -67,76 +72,78 @@
   for (auto _ : state) fleet.run_next_request();
   state.SetComplexityN(state.range(0));
 }
-// With the client's own work for one request, which does not depend on the size.
+// Includes the client's own work for one request, which does not depend on the size of the fleet.
 BENCHMARK(quota_request)->RangeMultiplier(4)->Range(100, 25600)->Complexity();
 
-// Two of a fleet in which each knows all.
-struct KnowsAll {
-  Membership one;
+// A member that knows all other members of its fleet.
+struct FullMembership {
+  Membership membership;
   double now = 1e6;
-  explicit KnowsAll(std::size_t n) : one({"n0", place(0), {place(1)}, 1000, 300}, 1, 1, 1e6) {
+  explicit FullMembership(std::size_t size)
+      : membership({"n0", address_of(0), {address_of(1)}, 1000, 300}, 1, 1, 1e6) {
     SwimMessage page{SwimMessage::Kind::view_page, 1, {}, {}, {}};
-    for (std::size_t i = 1; i < n; ++i)
-      page.updates.push_back({Member::State::alive, named("n", i), place(i), 1});
-    one.on_message(now, "n1", place(1), page);
+    for (std::size_t i = 1; i < size; ++i)
+      page.updates.push_back({Member::State::alive, numbered("n", i), address_of(i), 1});
+    membership.on_message(now, "n1", address_of(1), page);
   }
 };
 
 void datagram_in_and_out(benchmark::State& state) {
-  KnowsAll k(static_cast<std::size_t>(state.range(0)));
-  Envelope e;
-  e.fleet = "lab";
-  e.name = named("n", 1);
-  e.address = place(1);
-  e.incarnation = 1;
-  e.swim_message = {SwimMessage::Kind::ping, 1, {}, {}, {{Member::State::alive, named("n", 1), place(1), 1}}};
+  FullMembership member(static_cast<std::size_t>(state.range(0)));
+  Envelope envelope;
+  envelope.fleet = "lab";
+  envelope.name = numbered("n", 1);
+  envelope.address = address_of(1);
+  envelope.incarnation = 1;
+  envelope.swim_message = {
+      SwimMessage::Kind::ping, 1, {}, {}, {{Member::State::alive, numbered("n", 1), address_of(1), 1}}};
   for (auto _ : state) {
-    ++e.sequence_number;
-    const auto got = std::get<Envelope>(decode_envelope(encode(e), "lab"));
-    k.one.on_message(k.now, got.name, got.address, got.swim_message);
-    while (auto l = k.one.next_message()) benchmark::DoNotOptimize(l);
+    ++envelope.sequence_number;
+    const auto decoded = std::get<Envelope>(decode_envelope(encode(envelope), "lab"));
+    member.membership.on_message(member.now, decoded.name, decoded.address, decoded.swim_message);
+    while (auto outgoing = member.membership.next_message()) benchmark::DoNotOptimize(outgoing);
   }
   state.SetComplexityN(state.range(0));
 }
 BENCHMARK(datagram_in_and_out)->RangeMultiplier(4)->Range(100, 25600)->Complexity();
 
-// A period of one that hears nothing back but the answers to its own probes.
+// One period of a member that receives no messages but the replies to its own probes.
 void member_period(benchmark::State& state) {
-  KnowsAll k(static_cast<std::size_t>(state.range(0)));
+  FullMembership member(static_cast<std::size_t>(state.range(0)));
   for (auto _ : state) {
-    k.now = std::max(k.now, k.one.next_timer_at());
-    k.one.on_timer(k.now);
-    while (auto l = k.one.next_message())
-      if (l->message.kind == SwimMessage::Kind::ping) {
-        const std::string name = named("n", 1);
-        k.one.on_message(k.now, name, l->recipient,
-                         {SwimMessage::Kind::ack, l->message.sequence_number, {}, {}, {}});
+    member.now = std::max(member.now, member.membership.next_timer_at());
+    member.membership.on_timer(member.now);
+    while (auto outgoing = member.membership.next_message())
+      if (outgoing->message.kind == SwimMessage::Kind::ping) {
+        const std::string name = numbered("n", 1);
+        member.membership.on_message(member.now, name, outgoing->recipient,
+                                     {SwimMessage::Kind::ack, outgoing->message.sequence_number, {}, {}, {}});
       }
   }
   state.SetComplexityN(state.range(0));
 }
 BENCHMARK(member_period)->RangeMultiplier(4)->Range(100, 25600)->Complexity();
 
-EndpointListUpdate list_of(std::size_t n) {
-  EndpointListUpdate r;
-  r.version = n;
-  r.complete = true;
-  for (std::size_t i = 0; i < n; ++i)
-    r.entries.push_back({{named("endpoint-", i), "here", 0, 0, EndpointState::ready}, place(i)});
-  return r;
+EndpointListUpdate complete_list(std::size_t size) {
+  EndpointListUpdate update;
+  update.version = size;
+  update.complete = true;
+  for (std::size_t i = 0; i < size; ++i)
+    update.entries.push_back({{numbered("endpoint-", i), "here", 0, 0, EndpointState::ready}, address_of(i)});
+  return update;
 }
 
 void list_whole(benchmark::State& state) {
-  const std::string text = encode_endpoint_list(list_of(static_cast<std::size_t>(state.range(0))));
-  LoadBalancerConfig t;
-  LoadBalancer b(t, 1, 1e6);
+  const std::string text = encode_endpoint_list(complete_list(static_cast<std::size_t>(state.range(0))));
+  LoadBalancerConfig config;
+  LoadBalancer load_balancer(config, 1, 1e6);
   double now = 1e6;
   for (auto _ : state) {
-    const EndpointListUpdate r = parse_endpoint_list(text);
-    std::vector<Endpoint> all;
-    for (const EndpointListUpdate::Entry& e : r.entries) all.push_back(e.endpoint);
-    b.update_endpoints(++now, true, false, all);
-    while (b.next_decision()) {
+    const EndpointListUpdate update = parse_endpoint_list(text);
+    std::vector<Endpoint> endpoints;
+    for (const EndpointListUpdate::Entry& entry : update.entries) endpoints.push_back(entry.endpoint);
+    load_balancer.update_endpoints(++now, true, false, endpoints);
+    while (load_balancer.next_decision()) {
     }
   }
   state.counters["bytes"] = static_cast<double>(text.size());
@@ -144,25 +151,26 @@
 }
 BENCHMARK(list_whole)->RangeMultiplier(10)->Range(10, 10000)->Complexity();
 
-// One endpoint of n comes or goes.
+// One endpoint of the list is added or removed.
 void list_change(benchmark::State& state) {
-  const auto n = static_cast<std::size_t>(state.range(0));
-  LoadBalancerConfig t;
-  LoadBalancer b(t, 1, 1e6);
-  std::vector<Endpoint> all;
-  for (const EndpointListUpdate::Entry& e : list_of(n).entries) all.push_back(e.endpoint);
+  const auto size = static_cast<std::size_t>(state.range(0));
+  LoadBalancerConfig config;
+  LoadBalancer load_balancer(config, 1, 1e6);
+  std::vector<Endpoint> endpoints;
+  for (const EndpointListUpdate::Entry& entry : complete_list(size).entries)
+    endpoints.push_back(entry.endpoint);
   double now = 1e6;
-  b.update_endpoints(now, true, false, all);
-  while (b.next_decision()) {
+  load_balancer.update_endpoints(now, true, false, endpoints);
+  while (load_balancer.next_decision()) {
   }
   EndpointListUpdate change;
-  change.entries = {{all[n / 2], place(n / 2)}};
+  change.entries = {{endpoints[size / 2], address_of(size / 2)}};
   for (auto _ : state) {
-    EndpointState& s = change.entries[0].endpoint.state;
-    s = s == EndpointState::ready ? EndpointState::gone : EndpointState::ready;
-    const EndpointListUpdate r = parse_endpoint_list(encode_endpoint_list(change));
-    b.update_endpoints(++now, false, false, {r.entries[0].endpoint});
-    while (b.next_decision()) {
+    EndpointState& endpoint_state = change.entries[0].endpoint.state;
+    endpoint_state = endpoint_state == EndpointState::ready ? EndpointState::gone : EndpointState::ready;
+    const EndpointListUpdate update = parse_endpoint_list(encode_endpoint_list(change));
+    load_balancer.update_endpoints(++now, false, false, {update.entries[0].endpoint});
+    while (load_balancer.next_decision()) {
     }
   }
   state.SetComplexityN(state.range(0));
