--- a/src/quota/quota_config.h
+++ b/src/quota/quota_config.h
@@ -28,7 +28,7 @@
   Milliseconds registration_duration_ms = 60000;  ///< duration of the guaranteed minimum without an allocator
   double max_clock_drift = 0.01;                  ///< maximum relative error of the rate of any clock
 
-  /// How long `duration` by any clock can last by any other one.
+  /// The longest time by any clock that `duration` by another clock can take.
   Milliseconds with_drift_margin(Milliseconds duration) const {
     return indigorill::with_drift_margin(duration, max_clock_drift);
   }
