--- a/tests/fleet_limiter_test.cpp
+++ b/tests/fleet_limiter_test.cpp
@@ -75,8 +75,8 @@
 }
 
 TEST_CASE(
-    "limits: a number of instances that is configured wrong by four exceeds the limit by that factor at "
-    "most") {
+    "limits: a configured number of instances that is wrong by a factor of four exceeds the limit by that "
+    "factor at most") {
   for (const bool in_rotation : {false, true})
     for (const double configured_ratio : {0.25, 4.0}) {
       CAPTURE(in_rotation);
