--- a/src/logging/logger.cpp
+++ b/src/logging/logger.cpp
@@ -13,7 +13,7 @@
 constexpr std::array<std::string_view, 4> level_names{"error", "warning", "info", "debug"};
 
 constexpr const char* text_pattern = "%n %l: %v";
-// A line's own object follows without its opening brace.
+// %v is the line's own JSON object without its opening brace.
 constexpr const char* json_pattern = R"({"at":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v)";
 
 spdlog::level::level_enum to_spdlog_level(LogLevel level) {
@@ -35,7 +35,7 @@
   constexpr bool flush_each_line = true;
   auto stream_sink = std::make_shared<spdlog::sinks::ostream_sink_st>(output, flush_each_line);
   sink_ = std::make_unique<spdlog::logger>("indigorill", std::move(stream_sink));
-  sink_->set_level(spdlog::level::trace);  // Logger decides what is dropped, before a line is put together
+  sink_->set_level(spdlog::level::trace);  // Logger itself drops lines, before they are formatted
   if (format_ == LogFormat::text)
     sink_->set_pattern(text_pattern);
   else
@@ -48,7 +48,7 @@
   if (logger_) text_.emplace();
 }
 
-// NOLINTNEXTLINE(bugprone-exception-escape): only lack of memory throws, and that ends the process
+// NOLINTNEXTLINE(bugprone-exception-escape): it throws only if memory runs out, which ends the process
 Logger::Line::~Line() {
   if (!logger_) return;
   const auto spdlog_level = to_spdlog_level(level_);
@@ -56,7 +56,7 @@
     logger_->sink_->log(spdlog_level, std::string_view(text_->view()));
     return;
   }
-  // The text comes first, as in the documentation; what is not UTF-8 in it is replaced.
+  // The text is the first member, as documented; bytes in it that are not valid UTF-8 are replaced.
   nlohmann::ordered_json object{{"text", text_->str()}};
   for (const auto& [name, value] : fields_) object[name] = value;
   const std::string dumped = object.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
--- a/src/logging/logger.h
+++ b/src/logging/logger.h
@@ -1,6 +1,6 @@
 /// \file
-/// Log lines for on-call staff, as text or as JSON objects, on spdlog. By default no RPC is logged on its
-/// own.
+/// Log lines for operators, as text or as JSON objects, written with spdlog. By default individual RPCs are
+/// not logged.
 #pragma once
 
 #include <cstdint>
@@ -25,22 +25,22 @@
 /// The level of this name; empty if there is none.
 std::optional<LogLevel> parse_log_level(std::string_view name);
 
-/// Writes to a stream that must outlive it. Not thread-safe.
+/// Writes lines to a stream that must outlive the logger. Not thread-safe.
 class Logger {
  public:
   /// Lines less severe than `max_level` are dropped.
   Logger(std::ostream& output, LogLevel max_level, LogFormat format = LogFormat::text);
   ~Logger();
 
-  /// A line under construction. It is written as a whole on destruction; one that is dropped costs nothing
-  /// but the evaluation of its arguments.
+  /// A line under construction, written as a whole on destruction. A dropped line costs only the evaluation
+  /// of its arguments.
   class Line {
    public:
     /// `logger` is null if the line is dropped.
     Line(const Logger* logger, LogLevel level);
     Line(const Line&) = delete;
     Line& operator=(const Line&) = delete;
-    ~Line();  // NOLINT(bugprone-exception-escape): only lack of memory throws, and that ends the process
+    ~Line();  // NOLINT(bugprone-exception-escape): it throws only if memory runs out, which ends the process
 
     template <class T>
     Line& operator<<(const T& value) {
@@ -48,7 +48,7 @@
       return *this;
     }
 
-    /// Repeats a number of the text as a field of its own, for programs. Only in JSON.
+    /// Adds a number of the text as a separate JSON field, for programs. Text lines ignore it.
     Line& field(std::string name, std::int64_t value) {
       if (text_) fields_.emplace_back(std::move(name), value);
       return *this;
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -12,7 +12,7 @@
   output << name << ' ' << value << '\n';
 }
 
-/// Writes an array of counters; `names` are those of its elements.
+/// Writes an array of counters, each under the prefix and its name in `names`.
 template <std::size_t Size>
 void write_each(std::ostream& output, std::string_view prefix,
                 const std::array<std::string_view, Size>& names,
