--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -3,23 +3,24 @@
 namespace indigorill {
 
 std::size_t ClientConnection::buffered_bytes() const {
-  constexpr std::size_t streaming_bytes = 4 * http::max_buffered_body_bytes;  // what both ends hold, at most
+  // Maximum held by the connections of the client and of the endpoint together.
+  constexpr std::size_t streaming_bytes = 4 * http::max_buffered_body_bytes;
   const bool is_streaming = streaming_request || stage == Stage::streaming_response;
   return parser.buffer_capacity() + request_bytes_held + response.bytes.capacity() +
          (is_streaming ? streaming_bytes : 0);
 }
 
 bool ClientConnection::is_reading_paused() const {
-  // Of the next request while one is in flight: clients send one at a time.
+  // Input of the next request that is read while one is in flight: clients send one request at a time.
   constexpr std::size_t read_ahead_bytes = 4096;
-  // The endpoint is slower than the client, or the request is complete.
+  // Reading pauses if the endpoint is slower than the client, and after the end of the body.
   if (streaming_request)
     return parser.is_body_buffer_full() || parser.state() != http::HttpParser::ParseState::streaming_body;
   return stage == Stage::awaiting_response && parser.buffer_capacity() > read_ahead_bytes;
 }
 
 void ClientConnection::receive(std::size_t count, double now_ms) {
-  // A request's time counts from its last byte.
+  // The budget of an RPC counts from the last byte of its request.
   if (stage == Stage::reading_request) request_received_at_ms = now_ms - socket->receive_age_ms();
   if (!parser.has_partial_input()) {
     body_bytes_received = 0;
--- a/src/proxy/client_connection.h
+++ b/src/proxy/client_connection.h
@@ -16,55 +16,55 @@
 struct ClientConnection {
   enum class Stage {
     reading_request,
-    awaiting_response,   ///< its request is at the dispatcher
-    writing_response,    ///< the response is complete here
-    streaming_response,  ///< a long response is passed on in pieces
-    lingering,           ///< the last response is out; what comes is discarded until the client closes
+    awaiting_response,   ///< the dispatcher has the request
+    writing_response,    ///< the response to write is complete
+    streaming_response,  ///< a long response is forwarded in pieces
+    lingering,           ///< the last response is written; input is discarded until the connection is closed
   };
 
   std::uint64_t id = 0;
   Stage stage = Stage::reading_request;
   std::unique_ptr<TcpStream> socket;
   http::HttpParser parser{http::HttpParser::MessageKind::request};
-  EventLoop::Timer timeout_timer;  ///< of whatever the stage waits for
-  bool client_closed = false;      ///< its sending side, or all of it
+  EventLoop::Timer timeout_timer;  ///< timeout of the current stage
+  bool client_closed = false;      ///< the client closed its sending side or the whole connection
   bool close_after_response = false;
-  bool over_connection_limit = false;  ///< accepted beyond the limit, to be rejected
+  bool over_connection_limit = false;  ///< accepted beyond the limit: its RPCs are rejected
 
   // Eviction.
   EvictionClass eviction_class = EvictionClass::not_evictable;
   double eviction_class_since_ms = 0;
-  std::size_t accounted_bytes = 0;  ///< its part of all buffered bytes, as last counted
+  std::size_t accounted_bytes = 0;  ///< this connection's part of the server's total of buffered bytes
 
   // The request. Times are in ms on the event loop's clock.
   double opened_at_ms = 0;
   double first_byte_at_ms = 0;
-  double head_complete_at_ms = 0;  ///< 0 before that
+  double head_complete_at_ms = 0;  ///< 0 until the head is complete
   double last_byte_at_ms = 0;
-  double request_received_at_ms = 0;    ///< when its last bytes reached this machine
-  std::size_t body_bytes_received = 0;  ///< with what came in one read with the end of the head
-  bool has_sent_request = false;        ///< at least one whole request came over this connection
+  double request_received_at_ms = 0;    ///< when the request's last bytes reached this machine
+  std::size_t body_bytes_received = 0;  ///< including the whole read that completed the head
+  bool has_sent_request = false;        ///< a request, or the head of a streamed one, was received
   bool is_http_1_0 = false;
   bool is_head_request = false;
-  std::string rpc_id;                  ///< at the dispatcher; empty without an RPC
-  std::size_t request_bytes_held = 0;  ///< at the dispatcher
-  bool streaming_request = false;      ///< a long request comes in
-  bool upstream_wants_more = false;    ///< the endpoint takes the next piece of it
+  std::string rpc_id;                  ///< at the dispatcher; empty if there is no RPC
+  std::size_t request_bytes_held = 0;  ///< memory of the request that the dispatcher holds
+  bool streaming_request = false;      ///< a long request is being received
+  bool upstream_wants_more = false;    ///< the endpoint takes the next piece of a long request
 
   // The response.
-  http::Message response;  ///< the output borrows from it
+  http::Message response;  ///< `output` borrows from it
   WriteBuffer output;
-  std::size_t bytes_written = 0;   ///< of the output, when it last made progress
-  bool chunked_response = false;   ///< framing of a streamed one
-  bool last_piece_queued = false;  ///< all of a streamed one is in the output
+  std::size_t bytes_written = 0;   ///< bytes of `output` written at the last progress
+  bool chunked_response = false;   ///< a streamed response has chunked framing
+  bool last_piece_queued = false;  ///< the rest of a streamed response is in `output`
 
   EvictionQueue::Entry eviction_entry() const { return {eviction_class, eviction_class_since_ms, id}; }
 
-  /// What it holds in memory at most, its request at the dispatcher included.
+  /// Upper bound of the memory that the connection uses, including its request at the dispatcher.
   std::size_t buffered_bytes() const;
-  /// True if what the client sends next has to wait in the kernel.
+  /// True if further input of the client has to stay in the kernel's buffer.
   bool is_reading_paused() const;
-  /// Hands bytes just read to the parser and notes when they came.
+  /// Passes `count` bytes just read to the parser and records their time of arrival.
   void receive(std::size_t count, double now_ms);
 };
 
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -31,7 +31,7 @@
   if (std::exchange(accepting_, accepting) == accepting || !socket_) return;
   retry_timer_.cancel();
   watch_.cancel();
-  // The watch is new, so that it reports also what waits already.
+  // A new watch also reports connections that are already waiting.
   if (accepting_) start_watch();
 }
 
@@ -40,7 +40,7 @@
 }
 
 void ClientListener::on_ready() {
-  constexpr double retry_interval_ms = 5;  // the edge is spent, so nobody else tells us of the backlog
+  constexpr double retry_interval_ms = 5;  // edge-triggered epoll doesn't report this backlog again
   const AcceptResult result = accept_batch();
   if (result == AcceptResult::backlog_remaining) event_loop_.requeue(watch_);
   if (result == AcceptResult::blocked)
@@ -48,14 +48,14 @@
 }
 
 ClientListener::AcceptResult ClientListener::accept_batch() {
-  constexpr int batch_size = 64;  // then those accepted are served
+  constexpr int batch_size = 64;  // then the accepted connections are served
   for (int i = 0; i < batch_size; ++i) {
     if (!make_room_()) return AcceptResult::blocked;
     FileDescriptor client(::accept4(socket_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!client) {
       if (errno == EAGAIN || errno == EWOULDBLOCK) return AcceptResult::backlog_empty;
       if (errno == EINTR || errno == ECONNABORTED) continue;
-      // EMFILE and its like: the edge must not be lost with the failure.
+      // EMFILE or a similar error: epoll doesn't report this backlog again, so the accept has to be retried.
       log_accept_failure(errno);
       return AcceptResult::blocked;
     }
@@ -67,10 +67,10 @@
 }
 
 void ClientListener::log_accept_failure(int error) {
-  constexpr double log_interval_ms = 1000;  // the log must not be flooded
+  constexpr double log_interval_ms = 1000;  // keeps repeated failures from flooding the log
   if (event_loop_.now() <= last_failure_logged_at_ms_ + log_interval_ms) return;
   last_failure_logged_at_ms_ = event_loop_.now();
-  logger_.warning() << "accept failed with error " << error << ", trying again";
+  logger_.warning() << "accept failed with error " << error << "; retrying";
 }
 
 }  // namespace indigorill
--- a/src/proxy/client_listener.h
+++ b/src/proxy/client_listener.h
@@ -1,5 +1,5 @@
 /// @file
-/// The socket on which clients connect.
+/// The listening socket for client connections.
 #pragma once
 
 #include <functional>
@@ -9,27 +9,27 @@
 
 namespace indigorill {
 
-/// Accepts connections while it is told to, a limited number in each round of the event loop.
+/// Accepts connections while accepting is enabled, a limited number in each iteration of the event loop.
 class ClientListener {
  public:
   enum class AcceptResult {
     backlog_empty,
-    backlog_remaining,  ///< a batch was accepted, more may wait
-    blocked,            ///< no descriptor is to be had; the backlog waits
+    backlog_remaining,  ///< a batch was accepted; more connections may wait
+    blocked,            ///< no descriptor is available or accept failed; connections may wait
   };
-  /// Makes room for one more connection; false if there is none.
+  /// Makes room for one more connection; returns false if there is none.
   using MakeRoom = std::function<bool()>;
   using AcceptHandler = std::function<void(FileDescriptor client)>;
 
   /// `event_loop` and `logger` must outlive the listener.
   ClientListener(EventLoop& event_loop, Logger& logger, MakeRoom make_room, AcceptHandler on_accepted);
 
-  /// Takes a socket that listens already.
+  /// Takes ownership of a socket that is already listening.
   void open(FileDescriptor socket);
   bool is_open() const { return static_cast<bool>(socket_); }
   void close();
 
-  /// While it doesn't accept, whoever else holds the socket takes what waits there.
+  /// While accepting is disabled, waiting connections are left to another process that holds the socket.
   void set_accepting(bool accepting);
   bool is_accepting() const { return accepting_; }
 
