--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -29,7 +29,7 @@
     endpoints.push_back(endpoint);
   }
   ejections_.update_endpoints(update.complete, listed_ids, removed_ids);
-  // An endpoint that the pool meets anew, after it left the list, is still ejected.
+  // An ejected endpoint that left the list and returned is new to the pool, but still ejected.
   for (const std::string& id : listed_ids)
     if (ejections_.is_ejected(id)) upstream_pool_.set_ejected_manually(id, true);
   if (update.complete) upstream_pool_.retain_endpoints(endpoints);
--- a/src/proxy/endpoint_registry.h
+++ b/src/proxy/endpoint_registry.h
@@ -1,5 +1,5 @@
 /// @file
-/// The endpoint list that is in force, and its way to the parts of the proxy that need it.
+/// The endpoint list that is in force, and its distribution to the parts of the proxy that use it.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 namespace indigorill {
 
 /// Applies each endpoint list to the connection pool, the manual ejections and the dispatcher, in this order,
-/// and remembers the result for a child process.
+/// and keeps the resulting list for a child process.
 class EndpointRegistry {
  public:
-  /// Whether a list answers a poll of this process, or is an earlier one that is restored.
+  /// Whether an update answers a poll of this process, or restores an earlier list.
   enum class Source { restored, poll_response };
 
   /// All references must outlive the registry.
@@ -27,7 +27,7 @@
 
   void apply(const EndpointListUpdate& update, Source source);
 
-  /// Version of the list last applied.
+  /// Version of the update applied last.
   std::uint64_t version() const { return version_; }
   std::size_t size() const { return entries_.size(); }
   /// The complete list in force, draining endpoints included.
