--- a/src/proxy/http_server.cpp
+++ b/src/proxy/http_server.cpp
@@ -28,7 +28,8 @@
 
 void HttpServer::use_listener(FileDescriptor listener) { listener_.open(std::move(listener)); }
 
-// Beyond the budget a client is still accepted, to be rejected: in the backlog it would wait in vain.
+// Beyond the connection limit a client is still accepted if a descriptor is available, and its RPC rejected:
+// in the backlog it would wait without a response.
 bool HttpServer::make_room_for_client() {
   if (connections_.size() < limits_.max_connections && descriptor_budget_.available() > 0) return true;
   return close_idle_connection() || descriptor_budget_.available() > 0 || close_idle_upstream_();
@@ -46,8 +47,9 @@
       event_loop_, descriptor_budget_, std::move(socket),
       [this, id](std::uint32_t events) { on_socket_event(id, events); },
       EventLoop::WatchPriority::high_on_hangup);
-  // It may have waited in the backlog, for room or while this process stood still, and have left meanwhile:
-  // read before that is seen, its request would be forwarded for nobody.
+  // The client may have closed while the connection waited in the backlog for room or for a process that was
+  // suspended. If its request were read before the hangup is seen, it would be forwarded although no client
+  // waits for the response.
   on_socket_event(id, connection.socket->poll_hangup_events());
 }
 
@@ -56,8 +58,8 @@
   if (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) connection.client_closed = true;
   if (connection.stage == Stage::writing_response || connection.stage == Stage::streaming_response)
     return flush_output(connection);
-  // Its end may lie behind more than is read ahead, or behind an upload that no endpoint takes: who waits for
-  // that to be read would forward what nobody waits for.
+  // The end of the stream may come after more input than is read ahead, or after an upload that no endpoint
+  // takes. If the server waited until it is read, an RPC whose client has left would be forwarded.
   if (connection.client_closed && connection.stage == Stage::awaiting_response) return close_connection(id);
   if (!read_request(connection)) return;
   update_buffered_bytes(connection);
@@ -65,29 +67,29 @@
   process_input(connection);
 }
 
-// False if it brought nothing to process, or is gone.
+// Returns false if the connection was closed, or is lingering and has no input.
 bool HttpServer::read_request(ClientConnection& connection) {
   if (connection.stage == Stage::lingering) return discard_input(connection);
-  constexpr int max_reads = 16;  // then other connections have their turn
+  constexpr int max_reads = 16;  // then other connections are served
   for (int i = 0; i < max_reads; ++i) {
     if (connection.is_reading_paused()) return true;
     std::size_t count = 0;
     const ReadStatus status = connection.socket->read(connection.parser.writable_buffer(), count);
     if (status == ReadStatus::would_block) return true;
     if (status != ReadStatus::data) {
-      // A client that closes has left, and what it waited for is of no use any more.
+      // A client that closes its connection doesn't wait for a response any more.
       close_connection(connection.id);
       return false;
     }
     connection.receive(count, event_loop_.now());
-    // The client may have closed already, and that edge is spent.
+    // The requeue below is needed: the client may have closed already, and epoll doesn't report that again.
     if (connection.parser.state() != ParseState::reading && connection.stage == Stage::reading_request) break;
   }
   connection.socket->requeue();
   return true;
 }
 
-// One read a round: a body of 60 MB that nobody wants must not cost others their time.
+// One read per iteration of the loop, so that discarding a body of 60 MB doesn't delay other connections.
 bool HttpServer::discard_input(ClientConnection& connection) {
   const ReadStatus status = connection.socket->discard();
   if (status == ReadStatus::data) {
@@ -115,9 +117,9 @@
 }
 
 void HttpServer::await_more_input(ClientConnection& connection) {
-  // Who connects and stays silent, or sends half a request, is owed an error or a close within 3 s; the time
-  // for a first request counts from the connect, so that a late half gets no more of it.
-  // An honest head may take over 2 s.
+  // A client that sends nothing, or only a part of a request, must get an error or a close within 3 s. The
+  // time for the first request counts from the accept, so that a partial request that begins late gets no
+  // extra time. The head of a well-behaved client may take over 2 s.
   constexpr double head_timeout_ms = 2850;
   if (connection.parser.expects_continue()) send_continue(connection);
   if (connection.parser.has_partial_input()) {
@@ -137,7 +139,7 @@
     set_request_timeout(connection, connection.opened_at_ms + head_timeout_ms);
 }
 
-// Forwards what came of a long request, as far as the endpoint takes it.
+// Forwards the received part of a long request, as far as the endpoint takes it.
 void HttpServer::forward_request_body(ClientConnection& connection) {
   const std::uint64_t id = connection.id;
   http::HttpParser& parser = connection.parser;
@@ -154,25 +156,25 @@
       return parser.start_next_message();
     }
     parser.consume_body_chunk();
-    connection.socket->requeue();  // there may be more to read, now that there is room
+    connection.socket->requeue();  // the buffer has room again, and more input may wait
   }
   if (parser.state() == ParseState::error) return reject_bad_request(connection, parser.error_status());
-  // While the endpoint is the slower one, or all is here, nothing is to be awaited from the client.
+  // No timeout while the endpoint is slower than the client, or once the body is complete.
   if (!connection.upstream_wants_more || parser.state() == ParseState::body_complete)
     return connection.timeout_timer.cancel();
   if (parser.expects_continue()) send_continue(connection);
   set_body_timeout(connection);
 }
 
-// Some clients wait for a 100 before they send a body.
+// Some clients wait for "100 Continue" before they send a body.
 void HttpServer::send_continue(ClientConnection& connection) {
   WriteBuffer buffer;
   buffer.append_owned(std::string(continue_response()));
-  connection.socket->write(buffer);  // it goes to an empty buffer of the kernel's
+  connection.socket->write(buffer);  // fits, because the kernel's send buffer is empty
   connection.parser.mark_continue_sent();
 }
 
-// The complete request has to be here by the deadline.
+// At the deadline, a partial request is answered with 408 and a connection without input is closed.
 void HttpServer::set_request_timeout(ClientConnection& connection, double deadline_ms) {
   connection.timeout_timer = event_loop_.schedule_at(deadline_ms, [this, id = connection.id] {
     ClientConnection& late = *connections_.at(id);
@@ -182,12 +184,12 @@
   });
 }
 
-// A body may be long: what counts is that it comes. Who stops half way is owed an error within 3 s, and who
-// sends a byte now and then must not hold on for ever.
+// A body may be long as long as it makes progress. A client that stops halfway must get an error within 3 s,
+// and one that sends a byte now and then must not keep its connection without limit.
 void HttpServer::set_body_timeout(ClientConnection& connection) {
   constexpr double longest_pause_ms = 1400;
   constexpr double initial_allowance_ms = 4000;
-  constexpr double min_bytes_per_ms = 16;  // honest clients send 64
+  constexpr double min_bytes_per_ms = 16;  // well-behaved clients send 64
   const double pause_ends_at_ms = connection.last_byte_at_ms + longest_pause_ms;
   const double too_slow_at_ms = connection.head_complete_at_ms + initial_allowance_ms +
                                 static_cast<double>(connection.body_bytes_received) / min_bytes_per_ms;
@@ -197,7 +199,8 @@
 void HttpServer::handle_request(ClientConnection& connection, http::Message request) {
   const RequestKind kind = classify_request(request);
   const bool may_be_rpc = kind == RequestKind::rpc;
-  // Nobody waits for its response; what costs nothing is answered all the same to who closed only one side.
+  // No client waits for the response of the RPC. Requests that cost nothing are answered nevertheless,
+  // because the client may have closed only its sending side.
   if (connection.client_closed && may_be_rpc) return close_connection(connection.id);
   const bool close_after = !request.keep_alive || draining_ || force_closing_ ||
                            connection.over_connection_limit || (!may_be_rpc && over_idle_limit());
@@ -230,7 +233,7 @@
   dispatch_rpc(connection, std::move(request), close_after);
 }
 
-// 0 for a request that the dispatcher can take.
+// The HTTP status to reject the request with; 0 if the dispatcher can take it.
 int HttpServer::rpc_error_status(const http::Message& request) const {
   const RpcRequest rpc = decode_rpc_request(request);
   if (rpc.error_status) return rpc.error_status;
@@ -250,7 +253,7 @@
   const std::uint64_t id = connection.id;
   std::string rpc_id =
       dispatcher_.dispatch(std::move(request), connection.request_received_at_ms, make_response_handler(id));
-  // It may have been answered at once, and the connection closed since.
+  // The RPC may have been answered within dispatch(), and the connection closed.
   const auto it = connections_.find(id);
   if (it != connections_.end() && it->second->stage == Stage::awaiting_response)
     it->second->rpc_id = std::move(rpc_id);
@@ -265,19 +268,20 @@
     return forward_response_body(*connections_.at(id), piece, last);
   };
   handler.on_aborted = [this, id] {
-    connections_.at(id)->socket->reset_on_close();  // the client has to see that it is not complete
+    // A reset tells the client that the response is incomplete.
+    connections_.at(id)->socket->reset_on_close();
     close_connection(id);
   };
   handler.on_ready_for_body = [this, id] {
     ClientConnection& connection = *connections_.at(id);
     if (std::exchange(connection.upstream_wants_more, true)) return;
-    connection.last_byte_at_ms = event_loop_.now();  // the time that the endpoint took was not the client's
+    connection.last_byte_at_ms = event_loop_.now();  // the endpoint's delay is no pause of the client
     connection.socket->requeue();
   };
   return handler;
 }
 
-// What is no RPC is answered at once, and nothing is forwarded.
+// Answers an invalid request at once. The dispatcher treats the client of a partly dispatched one as gone.
 void HttpServer::reject_bad_request(ClientConnection& connection, int status) {
   ++counters_.malformed_requests;
   if (std::exchange(connection.streaming_request, false)) {
@@ -288,7 +292,7 @@
 }
 
 void HttpServer::on_rpc_result(ClientConnection& connection, RpcResult result) {
-  // What still comes of a long request is of no use: after an early response the connection ends.
+  // After an early response the rest of a long request is useless, so the connection is closed.
   const bool close_after = std::exchange(connection.streaming_request, false) ||
                            connection.close_after_response || draining_ || force_closing_ ||
                            over_idle_limit();
@@ -312,17 +316,17 @@
   const bool has_length = connection.response.content_length.has_value();
   connection.chunked_response = !has_length && !connection.is_http_1_0;
   connection.last_piece_queued = false;
-  // A client that knows no chunks sees the end of the body by the end of the connection.
+  // An HTTP/1.0 client doesn't understand chunks: for it the end of the connection ends the body.
   connection.close_after_response = close_after || (!has_length && connection.is_http_1_0);
   connection.stage = Stage::streaming_response;
   connection.timeout_timer.cancel();
   connection.output = encode_forwarded_response(connection.response, connection.close_after_response, false,
                                                 connection.is_http_1_0);
   update_buffered_bytes(connection);
-  connection.socket->requeue();  // the dispatcher is still at work on this RPC
+  connection.socket->requeue();  // written later: the dispatcher is still processing this RPC
 }
 
-// True if more is wanted at once: nothing of what was given waits for the client.
+// Returns true if more is wanted at once, because the whole piece was written.
 bool HttpServer::forward_response_body(ClientConnection& connection, std::string_view piece, bool last) {
   connection.output = {};
   connection.output.append_owned(encode_body_chunk(piece, connection.chunked_response, last));
@@ -364,7 +368,7 @@
   update_buffered_bytes(connection);
   connection.stage = Stage::reading_request;
   if (connection.close_after_response) {
-    // Closing over bytes that we did not read would reset the connection and take the response with it.
+    // Closing with unread input would reset the connection, and the client could lose the response.
     constexpr double linger_interval_ms = 1000;
     constexpr double linger_interval_in_drain_ms = 100;
     connection.stage = Stage::lingering;
@@ -375,9 +379,10 @@
   connection.socket->requeue();
 }
 
-// Who reads slowly gets all the same what there is, as long as it reads.
+// A client that reads slowly gets the whole response as long as it makes progress.
 void HttpServer::set_slow_reader_timeout(ClientConnection& connection, std::size_t unacknowledged_bytes) {
-  // Honest readers pause for less; who doesn't read must not keep its response here past the time of its use.
+  // Well-behaved clients pause for less. The response to a client that doesn't read must not be kept here
+  // after it has become useless.
   constexpr double longest_pause_ms = 3000;
   const double pause_ms = std::max(longest_pause_ms, limits_.max_client_wait_ms);
   connection.timeout_timer =
@@ -389,8 +394,8 @@
       });
 }
 
-// What the client still reads must not be lost with the connection: it is closed once the client stands still
-// for the interval, or has all.
+// The client must not lose the part of the response that it still reads: the connection is closed once all
+// bytes are acknowledged, or none was within the interval.
 void HttpServer::linger_until_read(ClientConnection& connection, double interval_ms) {
   connection.timeout_timer = event_loop_.schedule_at(
       event_loop_.now() + interval_ms,
--- a/src/proxy/http_server.h
+++ b/src/proxy/http_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// The HTTP server for the application's clients: their connections, from the accept to the close.
+/// The HTTP server that the application's clients connect to. It owns their connections.
 #pragma once
 
 #include <cstdint>
@@ -22,15 +22,15 @@
 
 namespace indigorill {
 
-/// Reads requests, gives RPCs to the dispatcher and writes each one's response; answers by itself what is no
-/// RPC. Never holds more than its limits allow: idle connections are closed first, then RPCs are rejected.
+/// Reads requests, passes RPCs to the dispatcher and writes their responses; answers other requests itself.
+/// To stay within its limits, it first closes idle connections and then rejects RPCs.
 class HttpServer {
  public:
   struct Limits {
-    std::size_t max_connections = 0;       ///< beyond it, connections without an RPC are closed for new ones
-    std::size_t max_idle_connections = 0;  ///< without an RPC; beyond it, they are closed
-    std::size_t max_buffered_bytes = 0;    ///< in messages of clients
-    double max_client_wait_ms = 3000;      ///< no client waits for longer, as far as the config tells
+    std::size_t max_connections = 0;       ///< beyond it, ones without an RPC are closed for new ones
+    std::size_t max_idle_connections = 0;  ///< without an RPC; beyond it, old ones are closed
+    std::size_t max_buffered_bytes = 0;    ///< in messages of all client connections
+    double max_client_wait_ms = 3000;      ///< longest time a client waits, according to the config
   };
 
   /// All references must outlive the server. `close_idle_upstream` closes an idle connection to some
@@ -39,21 +39,22 @@
              Logger& logger, RequestDispatcher& dispatcher, Limits limits,
              std::function<bool()> close_idle_upstream);
 
-  /// Throws std::system_error if the address can't be listened on.
+  /// Throws std::system_error if listening on the address fails.
   void listen(const sockaddr_in& address);
-  /// Takes a socket that listens already.
+  /// Takes ownership of a socket that is already listening.
   void use_listener(FileDescriptor listener);
-  /// While it doesn't accept, whoever else holds the listener takes what waits there.
+  /// While accepting is disabled, waiting connections are left to another process that holds the listener.
   void set_accepting(bool accepting) { listener_.set_accepting(accepting); }
-  /// Whether each response ends its connection, so that clients move over to another process.
+  /// While set, each response ends its connection, so that clients connect again, to another process.
   void set_force_closing(bool force_closing) { force_closing_ = force_closing; }
   void set_limits(Limits limits);
 
-  /// Closes the connection that is of least use, by its eviction class and age. False if there is none.
+  /// Closes one connection without an RPC, chosen by eviction class and age. Returns false if there is none.
   bool close_idle_connection();
 
-  /// Graceful shutdown: accepts what still comes for a while, answers all RPCs, then calls `on_drained`, at
-  /// the latest when the process would else be killed. A second call does nothing.
+  /// Starts a graceful shutdown: accepts connections for a short time, answers all RPCs, then calls
+  /// `on_drained`. RPCs and connections that last too long are aborted before the process would be killed. A
+  /// second call does nothing.
   void drain(EventLoop::Callback on_drained);
 
  private:
--- a/src/proxy/http_server_drain.cpp
+++ b/src/proxy/http_server_drain.cpp
@@ -8,11 +8,12 @@
 namespace indigorill {
 
 void HttpServer::drain(EventLoop::Callback on_drained) {
-  // Clients may connect for 0.4 s after the signal, and what the kernel accepted counts as ours.
+  // Clients may connect for 0.4 s after the signal, and connections that the kernel accepted have to be
+  // served.
   constexpr double accept_period_ms = 450;
-  // The signal is followed by a kill after the longest deadline, 3 s at most, and 0.7 s more: what endpoints
-  // or slow readers would hold past that is answered or cut while it can be, also by a process that is held
-  // up for 0.15 s meanwhile.
+  // The process is killed when the longest deadline, 3 s at most, and 0.7 s more have passed after the
+  // signal. RPCs and responses that endpoints or slow clients would delay beyond that are answered or aborted
+  // early enough, even if the process is held up for 0.15 s meanwhile.
   constexpr double longest_deadline_ms = 3000;
   constexpr double abort_after_deadline_ms = 500;
   if (draining_) return;
@@ -27,21 +28,21 @@
   close_idle_for_drain();
 }
 
-// What was written to a connection before it is closed is ours: each that waits for a request is read once
-// more, and `on_read` has those that are still there.
+// A request that was sent before its connection is closed has to be answered. So each connection that waits
+// for a request is read once more, and `on_read` is called with those that are still open.
 void HttpServer::reread_connections(const std::function<void(ClientConnection&)>& on_read) {
   std::vector<std::uint64_t> reading;
   for (const auto& [id, connection] : connections_)
     if (connection->stage == Stage::reading_request) reading.push_back(id);
   for (const std::uint64_t id : reading) {
-    const auto it = connections_.find(id);  // it may have been closed for room
+    const auto it = connections_.find(id);  // it may have been closed to make room
     if (it != connections_.end() && read_request(*it->second)) on_read(*it->second);
   }
 }
 
-// Clients send on what stays open. A request that crosses the closing is sent once more over a new
-// connection, which is to be had only while the listener is open: so idle ones are closed now, and not with
-// the listener.
+// Clients keep sending on connections that stay open. A request that crosses the close of its connection is
+// sent again on a new connection, which is possible only while the listener is open. So idle connections are
+// closed now and not together with the listener.
 void HttpServer::close_idle_for_drain() {
   reread_connections([this](ClientConnection& connection) {
     update_buffered_bytes(connection);
@@ -53,10 +54,10 @@
 }
 
 void HttpServer::close_listener() {
-  // What waits in the backlog counts as accepted: it is emptied first, however long.
+  // Connections in the backlog count as accepted, so the backlog is emptied first, however long it is.
   constexpr double retry_interval_ms = 5;
-  constexpr double longest_wait_ms = 1000;  // a process out of descriptors can't stay for ever
-  // Who began to send a request, or came last of all, may end it.
+  constexpr double longest_wait_ms = 1000;  // bounds the drain of a process without descriptors
+  // A client that has sent a part of its request, or has just connected, may complete the request.
   constexpr double last_request_timeout_ms = 200;
   auto result = ClientListener::AcceptResult::backlog_empty;
   if (listener_.is_accepting()) {
@@ -85,7 +86,8 @@
 }
 
 void HttpServer::abort_remaining() {
-  // What was answered just now is on its way; who still reads, or sends, does so in vain.
+  // Gives the responses written just now time to leave. Then all connections are closed, including those
+  // whose clients are still reading or sending.
   constexpr double last_write_period_ms = 40;
   dispatcher_.abort_all();
   abort_timer_ = event_loop_.schedule_at(event_loop_.now() + last_write_period_ms, [this] {
--- a/src/proxy/http_server_limits.cpp
+++ b/src/proxy/http_server_limits.cpp
@@ -1,4 +1,4 @@
-// What the HTTP server does to stay within its limits.
+// How the HTTP server stays within its limits of connections and memory.
 #include <array>
 #include <utility>
 
@@ -12,7 +12,8 @@
 }
 
 void HttpServer::set_eviction_class(ClientConnection& connection, EvictionClass eviction_class) {
-  // Of partial requests, who made progress last is the last to be closed for room: slow is not idle.
+  // The partial request that made progress last is the last of its class to be closed for room: a slow client
+  // is not idle.
   if (connection.eviction_class == eviction_class && eviction_class != EvictionClass::partial_request) return;
   eviction_queue_.erase(connection.eviction_entry());
   connection.eviction_class = eviction_class;
@@ -21,9 +22,10 @@
 }
 
 bool HttpServer::close_idle_connection() {
-  // How long each must have been of its class. Who connects to ask has asked by then, and the rest of a
-  // request follows its first bytes as quickly. Idle ones are closed at any age, the oldest first: spared for
-  // 2 s, clients that ask once and stay fill all the room, and every RPC that comes is rejected.
+  // `min_age_ms` is the time that a connection must have been in its class. A client that connects in order
+  // to send a request has sent it by then, and the rest of a request follows its first bytes as quickly. Idle
+  // connections are closed at any age, the oldest first: if they were spared for 2 s, clients that send one
+  // request and stay connected would take all the room, and every new RPC would be rejected.
   struct Candidate {
     EvictionClass eviction_class;
     double min_age_ms;
@@ -38,7 +40,7 @@
 }
 
 bool HttpServer::close_oldest_of(EvictionClass eviction_class, double min_age_ms) {
-  // A request that is here but was not read yet would be lost with its connection.
+  // A request that was received but not read yet would be lost with its connection.
   const bool may_have_unread_request =
       eviction_class == EvictionClass::idle || eviction_class == EvictionClass::silent;
   const auto id = eviction_queue_.find_oldest(
@@ -53,7 +55,8 @@
 }
 
 // Clients that ask once and stay may hold no more connections some day, and then can't ask: idle ones are
-// closed, oldest first. True if there are too many and all are young: then a response ends its connection.
+// closed, oldest first. Returns true if there are too many and all are young: then a response ends its
+// connection.
 bool HttpServer::over_idle_limit() {
   constexpr double min_silent_age_ms = 500;
   constexpr double min_idle_age_ms = 2000;
