--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -6,17 +6,18 @@
 namespace indigorill {
 namespace {
 
-// A complete response says how its attempt ended, and may carry a load report.
+// The outcome of an attempt with a complete response depends on the response, which may carry a load report.
 LoadReport extract_load_report(UpstreamPool::ExchangeResult& result, bool of_probe) {
   if (result.outcome != AttemptOutcome::ok) return {};
   result.outcome = classify_response(result.response);
   return decode_load_report(result.response, of_probe);
 }
 
-// Gossip between sidecars is not carried here: what is never heard must not be sent either.
+// This process doesn't exchange load gossip, so the load balancer must not make any.
 LoadBalancerConfig without_gossip(LoadBalancerConfig config, Logger& logger) {
   if (std::exchange(config.gossip_enabled, false))
-    logger.info() << "the settings allow gossip between sidecars; none is sent or heard";
+    logger.info()
+        << "the settings enable gossip between sidecars, which is not supported; none is sent or received";
   return config;
 }
 
@@ -44,16 +45,17 @@
 
 std::string RequestDispatcher::dispatch(http::Message request, double received_at_ms,
                                         ResponseHandler handler) {
-  // The response has still to be written and to reach the client; a timer may be a millisecond late.
+  // Time to write the response and to transfer it to the client; a timer may be a millisecond late.
   constexpr double response_allowance_ms = 3;
-  std::string rpc_id = std::to_string(++last_id_);  // ids of the client's could come twice
+  std::string rpc_id = std::to_string(++last_id_);  // ids assigned by clients may repeat
   Rpc& rpc = rpcs_[rpc_id];
   rpc.request = std::move(request);
   rpc.handler = std::move(handler);
   const RpcRequest decoded = decode_rpc_request(rpc.request);
   rpc.call_id = decoded.id;
   open_call_ids_.insert(rpc.call_id);
-  // A long request's time counts from its last byte, which is still to come.
+  // The budget of a long request counts from its last byte, for which send_request_body() sets the deadline
+  // again.
   rpc.budget_ms = decoded.budget_ms - response_allowance_ms;
   rpc.deadline_ms = received_at_ms + rpc.budget_ms;
   ++counters_.rpcs_received;
@@ -71,11 +73,12 @@
     load_balancer_.on_client_disconnected(event_loop_.now(), rpc_id);
     carry_out_decisions();
   }
-  const auto remaining = rpcs_.find(rpc_id);  // the load balancer may have cancelled its last attempt
+  const auto remaining = rpcs_.find(rpc_id);  // gone if the load balancer cancelled its last attempt
   if (remaining == rpcs_.end()) return;
   Rpc& rpc = remaining->second;
   withdraw_unsent_attempts(rpc_id);
-  // The load balancer cancels no attempt whose bytes are on their way; nobody gives or takes them any more.
+  // The load balancer doesn't cancel an attempt of a streamed message, but its client neither sends nor reads
+  // the rest any more.
   if (rpc.request_body_discarded || rpc.streaming_response) abandon_all_attempts(rpc_id);
   rpc.handler = {};
   erase_if_concluded(rpc_id);
@@ -93,7 +96,7 @@
   const EventLoop::Callback on_aborted = rpc.streaming_response ? rpc.handler.on_aborted : [] {};
   if (rpc.streaming_response) ++counters_.truncated_responses;
   if (!rpc.concluded) {
-    // An earlier attempt may have run: no word that a retry is harmless.
+    // An earlier attempt may have run, so the result must not say that a retry is safe.
     conclude_rpc(rpc_id, {.outcome = RpcResult::Outcome::failed});
     load_balancer_.on_client_disconnected(event_loop_.now(), rpc_id);
     carry_out_decisions();
@@ -128,18 +131,19 @@
                                           last, timeout_ms);
 }
 
-// The endpoint took what was here of a long request: from now on it can be sent nowhere else.
+// The endpoint took the buffered part of a long request: from now on the request can't be sent elsewhere.
 void RequestDispatcher::on_ready_for_body(const std::string& rpc_id, int attempt_index) {
   Rpc& rpc = rpcs_.at(rpc_id);
   if (!std::exchange(rpc.request_body_discarded, true)) {
     ++counters_.streamed_requests;
     load_balancer_.on_response_started(event_loop_.now(), rpc_id, attempt_index, true);
   }
-  const EventLoop::Callback on_ready = rpc.handler.on_ready_for_body;  // the RPC may end within it
+  // A copy, because the RPC may end within the call.
+  const EventLoop::Callback on_ready = rpc.handler.on_ready_for_body;
   on_ready();
 }
 
-// True if the rest of the response is wanted.
+// Returns true if the rest of the response is wanted.
 bool RequestDispatcher::on_response_started(const std::string& rpc_id, int attempt_index,
                                             const http::Message& response) {
   Rpc& rpc = rpcs_.at(rpc_id);
@@ -177,8 +181,8 @@
 }
 
 void RequestDispatcher::carry_out_decisions() {
-  // What is carried out may report something to the load balancer at once; its decisions then follow in this
-  // round.
+  // Carrying out a decision may report an event to the load balancer at once; the loop below also carries out
+  // the decisions that follow from it.
   if (carrying_out_decisions_) return;
   carrying_out_decisions_ = true;
   for (;;) {
@@ -218,13 +222,15 @@
   erase_if_concluded(decision.rpc_id);
 }
 
-// Given up after an attempt with no quota left: a retry was wanted, as far as can be seen from here.
+// An RPC that is rejected or failed after an attempt, while no quota is left, is assumed to have wanted a
+// retry.
 void RequestDispatcher::note_retry_shortage(const std::string& rpc_id) {
   if (!fleet_retry_quota_ || rpcs_.at(rpc_id).attempts.empty()) return;
   if (fleet_retry_quota_->remaining() < 1) fleet_retry_quota_->on_shortage();
 }
 
-// The load balancer asks once and waits: a poll that is dropped leaves the sidecar with its first list.
+// The load balancer requests a poll once and waits for its result. If the request were dropped, the sidecar
+// would keep its first list, so it stays pending until there is a function to call.
 void RequestDispatcher::poll_endpoints() {
   endpoint_poll_pending_ = !poll_endpoints_;
   if (poll_endpoints_) poll_endpoints_();
@@ -246,8 +252,8 @@
   const double timeout_ms = std::min(decision.delay_ms, rpc.deadline_ms - now_ms);
   rpc.attempts.push_back(
       {.exchange_id = 0, .endpoint_id = decision.endpoint_id, .sent_at_ms = now_ms, .in_flight = true});
-  // Its time ended while this round went on, or the quota ended since it was asked about, as this process may
-  // have stood still: nothing was sent.
+  // Nothing is sent if the time of the attempt ended in this iteration of the loop, or if the quota ran out
+  // since the load balancer was given it, for example because the process was suspended.
   const bool is_retry = decision.attempt_index > 0;
   if (timeout_ms <= 0 || now_ms >= decision.send_deadline_ms ||
       (is_retry && fleet_retry_quota_ && !fleet_retry_quota_->try_consume()))
@@ -269,7 +275,8 @@
     return on_response_started(rpc_id, index, response);
   };
   exchange.on_body_piece = [this, rpc_id = decision.rpc_id](std::string_view piece, bool last) {
-    const auto on_body_piece = rpcs_.at(rpc_id).handler.on_body_piece;  // the RPC may end within it
+    // A copy, because the RPC may end within the call.
+    const auto on_body_piece = rpcs_.at(rpc_id).handler.on_body_piece;
     return on_body_piece(piece, last);
   };
   exchange.on_ready_for_body = [this, rpc_id = decision.rpc_id, index = decision.attempt_index] {
@@ -305,13 +312,14 @@
   on_aborted();
 }
 
-// Gives the client what the attempt brought, if that is final whatever the load balancer decides.
+// Gives the client the response of the attempt, if that is final regardless of the load balancer's decisions.
 void RequestDispatcher::conclude_by_attempt(const std::string& rpc_id, UpstreamPool::ExchangeResult& result) {
   if (rpcs_.at(rpc_id).concluded) return;
   if (result.outcome == AttemptOutcome::ok)
     conclude_rpc(rpc_id, {.outcome = RpcResult::Outcome::ok, .response = std::move(result.response)});
-  // A bad client must not cost endpoints their reputation, nor be retried at one after the other.
-  // Without a response it is us who had no room; the load balancer says how it goes on.
+  // An invalid request must not affect the reputation of endpoints, nor be retried at one after the other.
+  // A client error without a response means that this process had no descriptor for the attempt; then the
+  // load balancer decides what follows.
   else if (result.outcome == AttemptOutcome::client_error && result.response.status != 0)
     conclude_rpc(rpc_id, {.outcome = RpcResult::Outcome::failed, .response = std::move(result.response)});
 }
@@ -340,11 +348,12 @@
     if (attempts[index].in_flight) abandon_attempt(rpc_id, static_cast<int>(index));
 }
 
-// A connection that comes up late would else bring to an endpoint what has had its final result, or what
-// nobody waits for any more. Also where the settings allow no cancelling: nothing was asked of it yet.
+// Otherwise a connection established late would carry to an endpoint a request that already has its final
+// result or whose client has left. This also applies if the settings don't allow cancelling, because the
+// endpoint has not been sent the whole request yet.
 void RequestDispatcher::withdraw_unsent_attempts(const std::string& rpc_id) {
   const Rpc& rpc = rpcs_.at(rpc_id);
-  if (rpc.streaming_response) return;  // answered before its last byte was out
+  if (rpc.streaming_response) return;  // the endpoint responds before the request's last byte is written
   for (std::size_t index = 0; index < rpc.attempts.size(); ++index) {
     const Attempt& attempt = rpc.attempts[index];
     if (attempt.in_flight && upstream_pool_.is_unsent(attempt.exchange_id))
@@ -353,13 +362,13 @@
 }
 
 void RequestDispatcher::send_health_check(const std::string& endpoint_id) {
-  // A response that comes later than this tells nothing of the load any more.
+  // A response that arrives later says nothing about the current load.
   constexpr double timeout_ms = 250;
   UpstreamPool::Exchange exchange;
   exchange.on_complete = [this, endpoint_id](UpstreamPool::ExchangeResult result) {
     const LoadReport report = extract_load_report(result, true);
     if (result.outcome == AttemptOutcome::withdrawn)
-      result.outcome = AttemptOutcome::client_error;  // it was not asked at all
+      result.outcome = AttemptOutcome::client_error;  // the health check was not sent
     Counters::increment(counters_.health_checks, result.outcome);
     logger_.debug() << "health check of " << endpoint_id << ": " << name_of(result.outcome) << " after "
                     << result.duration_ms << " ms, in flight there " << report.in_flight.value_or(-1);
--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -1,6 +1,6 @@
 /// @file
-/// RPCs and their attempts, between the HTTP server and the connection pool. The only caller of the load
-/// balancer: reports to it what happened, and carries out its decisions.
+/// RPCs and their attempts, between the HTTP server and the connection pool. The dispatcher is the only
+/// caller of the load balancer: it reports events to it and carries out its decisions.
 #pragma once
 
 #include <cstdint>
@@ -26,24 +26,24 @@
 /// The final result of an RPC.
 struct RpcResult {
   enum class Outcome { ok, rejected, failed } outcome;
-  http::Message response = {};  ///< the endpoint's, if ok or if it finds fault with the request
-  double retry_after_ms = 0;    ///< advice of a rejection
+  http::Message response = {};  ///< the endpoint's, if ok or if it is a client error
+  double retry_after_ms = 0;    ///< of a rejection: time after which the client may retry
 };
 
 class RequestDispatcher {
  public:
-  /// What the dispatcher calls for one RPC. `on_result` is called once; of a long response it brings the
-  /// first part, and the other functions serve long messages alone.
+  /// Callbacks of the dispatcher for one RPC. `on_result` is called once, for a long response with its first
+  /// part; the other callbacks are called for long messages only.
   struct ResponseHandler {
     std::function<void(RpcResult)> on_result;
-    /// The next piece of a long response. Returns whether more is wanted at once; else resume_response() asks
-    /// for it.
+    /// Receives the next piece of a long response. Returns true if more is wanted at once; otherwise
+    /// resume_response() has to be called for it.
     std::function<bool(std::string_view piece, bool last)> on_body_piece = [](std::string_view, bool) {
       return true;
     };
-    /// The rest of a long response will not come.
+    /// The rest of a long response will not follow.
     EventLoop::Callback on_aborted = [] {};
-    /// The next piece of a long request may be given by send_request_body().
+    /// The next piece of a long request may be passed to send_request_body().
     EventLoop::Callback on_ready_for_body = [] {};
   };
 
@@ -51,41 +51,42 @@
   RequestDispatcher(EventLoop& event_loop, UpstreamPool& upstream_pool, Counters& counters, Logger& logger,
                     const LoadBalancerConfig& config, std::uint64_t seed);
 
-  /// Whether an RPC with this id of the client's is in flight.
+  /// Whether an RPC with this id, which the client assigned, is in flight.
   bool is_call_id_open(std::string_view call_id) const { return open_call_ids_.count(call_id) > 0; }
   bool is_known_method(std::string_view method) const { return known_methods_.count(method) > 0; }
-  /// Retry-After for who can't be served at all; 0 where clients take no advice.
+  /// Retry-After for RPCs that the HTTP server can't dispatch; 0 if clients don't support it.
   double longest_retry_after_ms() const { return longest_retry_after_ms_; }
 
-  /// Takes an RPC whose bytes reached this machine at `received_at_ms`, and returns its id. The handler's
-  /// result is called once, perhaps before this returns, unless the client leaves before.
+  /// Starts an RPC whose request reached this machine at `received_at_ms`, and returns its id. The handler's
+  /// `on_result` is called once, possibly before this returns, unless on_client_left() is called first.
   std::string dispatch(http::Message request, double received_at_ms, ResponseHandler handler);
   void on_client_left(const std::string& rpc_id);
-  /// The process ends: each RPC in flight has its final result now, a long response that is not complete is
-  /// aborted.
+  /// For the end of the process: gives each RPC in flight its final result and aborts long responses that are
+  /// not complete.
   void abort_all();
   void resume_response(const std::string& rpc_id);
-  /// The next piece of a long request; `received_at_ms` counts for the last one. True if more may be given at
-  /// once.
+  /// Sends the next piece of a long request. Returns true if more may be passed at once. `received_at_ms` is
+  /// used only for the last piece, from which the RPC's budget counts.
   bool send_request_body(const std::string& rpc_id, std::string_view bytes, bool last, double received_at_ms);
 
   /// `complete`: endpoints that are not among the entries are gone. `answers_poll`: the list may answer a
-  /// poll of the load balancer's; false for one that is restored at the start.
+  /// poll that the load balancer requested; false for a list that is restored.
   void update_endpoints(bool complete, bool answers_poll, const std::vector<Endpoint>& entries);
   void endpoint_poll_failed(std::optional<double> poll_duration_ms = {});
-  /// Called when the load balancer asks for the endpoint list; at once if it has asked before.
+  /// Sets the function that polls the endpoint list for the load balancer. It is called at once if the load
+  /// balancer has already requested a poll.
   void on_endpoint_poll(EventLoop::Callback poll);
-  /// Ejected by an operator, or restored at `since_ms`: attempts of which nothing is written there yet are
-  /// decided anew.
+  /// Applies an operator's ejection or restoration of an endpoint at `since_ms`. Attempts to an ejected
+  /// endpoint of which no byte is written yet are withdrawn and decided again.
   void set_ejected_manually(const std::string& endpoint_id, bool ejected, double since_ms);
 
   /// The quota of retries that all sidecars of a fleet share.
   struct RetryQuota {
     std::function<double()> remaining;  ///< retries left to this sidecar now
-    std::function<bool()> try_consume;  ///< takes one at this very moment, if there is one
-    EventLoop::Callback on_shortage;    ///< one was wanted and there was none
+    std::function<bool()> try_consume;  ///< consumes a retry now; false if none is left
+    EventLoop::Callback on_shortage;    ///< a retry was wanted and none was left
   };
-  /// Without it, retries are bounded by the load balancer alone.
+  /// Without this quota, only the load balancer bounds retries.
   void use_fleet_retry_quota(RetryQuota quota) { fleet_retry_quota_ = std::move(quota); }
 
   /// RPCs that are not concluded, or have an attempt in flight.
@@ -100,15 +101,15 @@
   };
   struct Rpc {
     http::Message request;
-    std::string_view call_id;  // the client's; leads into the request
+    std::string_view call_id;  // assigned by the client; a view into the request
     double deadline_ms;
     double budget_ms;  // from the request's last byte to the deadline
     ResponseHandler handler;
     std::vector<Attempt> attempts;
     bool concluded = false;               // it has its result, or its client has left
-    bool request_body_discarded = false;  // part of a long request is no longer here: it can't be sent again
-    bool streaming_response = false;      // a long response is on its way
-    LoadReport load_report;               // that came with it
+    bool request_body_discarded = false;  // part of a long request is dropped: it can't be sent again
+    bool streaming_response = false;      // a long response is being forwarded
+    LoadReport load_report;               // from the head of the long response
     bool has_no_attempt_in_flight() const;
   };
 
@@ -155,7 +156,7 @@
   bool endpoint_poll_pending_ = false;
   std::uint64_t last_id_ = 0;
   std::unordered_map<std::string, Rpc> rpcs_;
-  std::set<std::string_view> open_call_ids_;  // lead into the requests of rpcs_
+  std::set<std::string_view> open_call_ids_;  // views into the requests of rpcs_
   std::map<std::uint64_t, EventLoop::Timer> balancer_timers_;
 };
 
