--- a/src/proxy/upstream_exchange.h
+++ b/src/proxy/upstream_exchange.h
@@ -1,5 +1,5 @@
 /// @file
-/// One request to an endpoint and its response, as the user of the connection pool sees them.
+/// One request to an endpoint and its response, as seen by the user of the connection pool.
 #pragma once
 
 #include <cstdint>
@@ -16,26 +16,26 @@
 
 struct ExchangeResult {
   AttemptOutcome outcome;
-  double duration_ms;      ///< until a long response began, or the exchange ended
-  http::Message response;  ///< empty without one
+  double duration_ms;      ///< until the start of a long response or the end of the exchange
+  http::Message response;  ///< empty if there is none
 };
 
-/// What the pool calls for one exchange. Long messages go through in pieces: their functions are called for
-/// these alone, and may be left out otherwise.
+/// Callbacks and parameters of one exchange. Long messages are transferred in pieces; the callbacks for them
+/// are called for long messages only and may be omitted otherwise.
 struct Exchange {
   std::function<void(ExchangeResult)> on_complete;
-  /// The head of a long response and its first bytes. Returns false if the rest is of no use.
+  /// Receives the head of a long response and its first bytes. Returns false if the rest is not wanted.
   std::function<bool(const http::Message&)> on_response_started = nullptr;
-  /// The next piece of a long response. Returns whether more is wanted at once; else resume_response() asks
-  /// for it.
+  /// Receives the next piece of a long response. Returns true if more is wanted at once; otherwise
+  /// resume_response() has to be called for it.
   std::function<bool(std::string_view piece, bool last)> on_body_piece = nullptr;
-  /// The next piece of a long request may be given by send_request_body().
+  /// The next piece of a long request may be passed to send_request_body().
   std::function<void()> on_ready_for_body = nullptr;
-  /// What is written once a new connection is up, by the time that is then left.
+  /// Builds the request to write when a new connection is established, for the time that remains then.
   std::function<WriteBuffer(double remaining_ms)> rebuild_request = nullptr;
   bool is_head_request = false;
-  bool has_more_body = false;  ///< the request is but the first part of a long one
-  /// What has its last byte unwritten then was not sent, and ends as withdrawn.
+  bool has_more_body = false;  ///< the request is only the first part of a long one
+  /// If the request's last byte has not been written by then, the exchange ends as withdrawn.
   double must_be_sent_by_ms = 1e18;
 };
 
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -32,15 +32,15 @@
                                    EndpointState state, double started_at_ms) {
   const auto parsed = parse_socket_address(address);
   if (!parsed) {
-    // Its old address may be another's by now.
+    // The endpoint's old address may belong to another endpoint by now.
     logger_.warning() << "endpoint list has an invalid address: " << address;
     return remove_endpoint(endpoint_id);
   }
   EndpointEntry& entry = endpoints_[endpoint_id];
-  // Long ago is no new start, it is how an old one is told some day.
+  // A start time of 0, for long ago, is no new start: an old start is listed that way after some time.
   if (entry.process_generation == 0 || !is_same_address(entry.address, *parsed) ||
       started_at_ms > entry.started_at_ms) {
-    close_idle_connections_to(entry);  // they lead to the old address, or to the process before
+    close_idle_connections_to(entry);  // they lead to the old address or the previous process
     entry.process_generation = ++last_process_generation_;
   }
   entry.address = *parsed;
@@ -53,7 +53,7 @@
   const auto it = endpoints_.find(endpoint_id);
   if (it == endpoints_.end()) return;
   close_idle_connections_to(it->second);
-  endpoints_.erase(it);  // ids are ever new: those that are gone would pile up
+  endpoints_.erase(it);  // ids are always new, so removed ones would accumulate
 }
 
 void UpstreamPool::set_ejected_manually(const std::string& endpoint_id, bool ejected) {
@@ -116,11 +116,13 @@
 }
 
 UpstreamConnection* UpstreamPool::find_reusable_connection(EndpointEntry& entry) {
-  // Some endpoints answer twice, the second time some milliseconds late: on a connection used again at once
-  // that passes for the response to the next request. Once idle for so long, what comes unasked closes it.
-  // Only for a while after one was seen: for good it costs a third more connections, at endpoints that hold
-  // few (0.04 of the standing test). Where requests follow one another faster, or descriptors are scarce, the
-  // one that was idle for longest has to do: each would else be given up for a new one.
+  // Some endpoints respond twice, the second time some milliseconds late. On a connection that is reused at
+  // once, the second response would be taken for the response to the next request. On a connection that stays
+  // idle for `min_idle_after_extra_ms`, it arrives unexpected and closes the connection. The wait applies
+  // only for `extra_remembered_ms` after such a response was seen: applied permanently, it costs a third more
+  // connections, at endpoints that hold few (0.04 of the standing test). If requests follow one another
+  // faster, or if descriptors are scarce, the connection that has been idle for longest is used; otherwise
+  // each would be replaced by a new one.
   constexpr double min_idle_after_extra_ms = 25;
   constexpr double extra_remembered_ms = 60000;
   constexpr std::size_t max_spared_connections = 2;
@@ -141,8 +143,9 @@
   return nullptr;
 }
 
-// A request on a connection that the endpoint has closed is a reset, and one that must not run twice is lost
-// by it: looks once more, as the event may be still to come. Closes a connection that is not reusable.
+// A request on a connection that the endpoint has closed ends in a reset, after which a request that must not
+// run twice is lost. So the socket is checked here: the event of the close may not be dispatched yet. Closes
+// a connection that is not reusable.
 bool UpstreamPool::is_reusable(Connection& connection) {
   if (!connection.socket->is_stale()) return true;
   if (connection.socket->has_unread_input()) last_extra_response_at_ms_ = event_loop_.now();
@@ -151,8 +154,8 @@
 }
 
 void UpstreamPool::keep_idle(Connection& connection) {
-  // Well before the endpoint closes it: what crosses its closing is a reset. Nine tenths leave too little
-  // where a process waits for its core.
+  // The connection is retired well before the endpoint closes it, because a request that crosses the close
+  // ends in a reset. A part of 0.9 leaves too little time if a process waits for a CPU core.
   constexpr double used_part_of_idle_timeout = 0.75;
   const ExchangeId id = connection.id;
   connection.stage = Stage::idle;
@@ -182,14 +185,14 @@
   while (!entry.idle_connections.empty()) close_connection(entry.idle_connections.back());
 }
 
-// Without an address it fails as a connect does.
+// Without an address the exchange ends like one whose connect failed.
 void UpstreamPool::open_connection(Connection& connection, const sockaddr_in* address) {
   FileDescriptor fd;
   const bool is_affordable =
       !address || descriptor_budget_.available() > 0 || close_idle_connection() || close_idle_client_();
   if (address && is_affordable) fd = start_connect(*address);
   if (!fd) {
-    // What we can't afford is no fault of the endpoint's: its reputation must not pay for our descriptors.
+    // A lack of descriptors or buffers in this process must not affect the reputation of the endpoint.
     const bool is_our_fault =
         !is_affordable || (address && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS));
     const AttemptOutcome outcome =
@@ -201,21 +204,22 @@
   }
   ++counters_.connections_opened;
   set_connect_timeout(connection);
-  // The connection outlives its socket, and has another id with each exchange.
+  // The callback refers to the connection, which outlives its socket, because its id changes with each
+  // exchange.
   connection.socket = std::make_unique<TcpStream>(
       event_loop_, descriptor_budget_, std::move(fd),
       [this, owner = &connection](std::uint32_t events) { on_socket_event(owner->id, events); });
 }
 
 void UpstreamPool::set_connect_timeout(Connection& connection) {
-  // A connect that hangs is no reason to let the time of its RPC pass: while less than half of that is over,
-  // another endpoint may have it, or the client hear that it is to return.
+  // A connect that hangs must not use up the time of its RPC: while less than half of that has passed, the
+  // RPC can be retried at another endpoint, or the client can be advised to retry.
   constexpr double max_part_of_exchange = 0.4;
   constexpr double min_bound_ms = 20;
   const double estimate_ms = connect_timeout_.timeout_ms();
   const double exchange_ms = connection.expires_at_ms - connection.started_at_ms;
   const double bound_ms = std::max(max_part_of_exchange * exchange_ms, min_bound_ms);
-  const bool is_slow_connect = estimate_ms <= bound_ms;  // else it says less of connects than of the RPC
+  const bool is_slow_connect = estimate_ms <= bound_ms;  // otherwise the RPC was short, not the connect slow
   connection.connect_timer =
       event_loop_.schedule_at(connection.started_at_ms + std::min(estimate_ms, bound_ms),
                               [this, id = connection.id, is_slow_connect] {
@@ -228,18 +232,18 @@
   Connection& connection = *connections_.at(id);
   if (connection.stage == Stage::idle) {
     if (connection.socket->has_unread_input()) last_extra_response_at_ms_ = event_loop_.now();
-    return close_connection(id);  // the endpoint closed it, or wrote what nobody asked for
+    return close_connection(id);  // the endpoint closed it or sent unexpected data
   }
   if (connection.stage == Stage::connecting && !finish_connect(connection, events)) return;
   if (connection.stage == Stage::writing_request) {
     if (!connection.socket->write(connection.output)) return fail_exchange(connection, AttemptOutcome::reset);
     if (connection.output.is_complete()) on_output_written(connection);
-    if (!connections_.count(id)) return;  // who gives more may have abandoned it
+    if (!connections_.count(id)) return;  // on_ready_for_body() may have abandoned the exchange
   }
   if (!connection.reading_paused) read_response(connection);
 }
 
-// False if the connection is not up, or its exchange is over.
+// Returns false if the connection is not established, or its exchange has ended.
 bool UpstreamPool::finish_connect(Connection& connection, std::uint32_t events) {
   if (events & (EPOLLERR | EPOLLHUP) || connection.socket->pending_error() != 0) {
     fail_exchange(connection, AttemptOutcome::reset);
@@ -248,7 +252,7 @@
   if (!(events & EPOLLOUT)) return false;
   connection.connect_timer.cancel();
   connect_timeout_.on_connected(event_loop_.now() - connection.started_at_ms);
-  // The loop may come to this late: what is over by now must not be sent any more.
+  // The event may be dispatched late: a request whose time has passed must not be sent any more.
   if (event_loop_.now() >= connection.expires_at_ms) {
     fail_exchange(connection, AttemptOutcome::reset);
     return false;
@@ -263,8 +267,8 @@
   return true;
 }
 
-// Only writes: a response, however quick, is read from the loop, since `on_complete` must not be called
-// before the caller has the exchange's id.
+// Only writes. Even a response that is already there is read from the event loop, because `on_complete` must
+// not be called before the caller has the exchange's id.
 void UpstreamPool::write_on_reused_connection(Connection& connection) {
   connection.stage = Stage::writing_request;
   if (!connection.socket->write(connection.output))
@@ -276,7 +280,7 @@
     on_output_written(connection);
 }
 
-// All that was given is out: the response is next, or more of the request.
+// Everything passed so far is written: next is the response, or more of the request.
 void UpstreamPool::on_output_written(Connection& connection) {
   if (connection.has_more_body) {
     set_progress_timeout(connection);
@@ -294,7 +298,7 @@
   connection.output.append_owned(std::move(bytes));
   connection.has_more_body = !last;
   if (last) {
-    // The endpoint begins with the last byte: a slow client's upload must not pass for a slow endpoint.
+    // The endpoint begins with the last byte: a slow upload of the client must not look like a slow endpoint.
     connection.started_at_ms = event_loop_.now();
     set_exchange_timeout(connection, timeout_ms);
   } else {
@@ -317,8 +321,8 @@
 }
 
 void UpstreamPool::read_response(Connection& connection) {
-  constexpr int max_reads = 16;  // then others have their turn: one long response must not hold up all
-  // What came before reading was resumed.
+  constexpr int max_reads = 16;  // then other connections are served, however long the response
+  // Forwards what was received before reading was resumed.
   if (connection.streaming_response && !forward_response_body(connection, AttemptOutcome::error)) return;
   for (int i = 0; i < max_reads; ++i) {
     std::size_t count = 0;
@@ -331,7 +335,7 @@
   connection.socket->requeue();
 }
 
-// False if nothing more is to be read for now, or the exchange is over.
+// Returns false if nothing more is to be read for now, or the exchange has ended.
 bool UpstreamPool::process_response(Connection& connection, bool stream_ended) {
   if (connection.parser.state() == ParseState::head_ready) {
     start_streaming_response(connection, stream_ended);
@@ -367,10 +371,10 @@
   connection.streaming_response = true;
   connection.reading_paused = true;
   connection.timeout_timer.cancel();
-  if (stream_ended) connection.socket->requeue();  // the end is seen once more
+  if (stream_ended) connection.socket->requeue();  // the end of the stream is then read again
 }
 
-// False if the connection is to be left alone for now, or the response is over.
+// Returns false if reading is paused, or the exchange has ended.
 bool UpstreamPool::forward_response_body(Connection& connection, AttemptOutcome outcome_if_broken) {
   http::HttpParser& parser = connection.parser;
   for (;;) {
@@ -383,7 +387,7 @@
     set_progress_timeout(connection);
     const ExchangeId id = connection.id;
     const bool wants_more = connection.exchange.on_body_piece(parser.body_chunk(), last);
-    if (!connections_.count(id)) return false;  // who takes it may have abandoned it
+    if (!connections_.count(id)) return false;  // on_body_piece() may have abandoned the exchange
     if (last) {
       const bool may_reuse = connection.stage == Stage::awaiting_response && parser.keep_alive();
       parser.start_next_message();
@@ -402,7 +406,8 @@
   http::Message response = connection.parser.take_message();
   const bool has_extra_input = connection.parser.has_partial_input();
   if (has_extra_input) last_extra_response_at_ms_ = event_loop_.now();
-  // More behind, or a load report that can't be read: this response is good, the next one here might not be.
+  // With extra input behind the response, or an unreadable load report, this response is valid, but the next
+  // one on the connection might not be.
   const bool may_reuse = !stream_ended && response.keep_alive &&
                          connection.stage == Stage::awaiting_response && !has_extra_input &&
                          has_valid_load_report(response);
@@ -416,9 +421,9 @@
   });
 }
 
-// A transfer that goes on may take its time; one that stands still is over.
+// A transfer may take long while it makes progress; one that stalls is ended.
 void UpstreamPool::set_progress_timeout(Connection& connection) {
-  constexpr double longest_pause_ms = 5000;  // honest ends pause for less than 2 s
+  constexpr double longest_pause_ms = 5000;  // well-behaved peers pause for less than 2 s
   set_exchange_timeout(connection, longest_pause_ms);
 }
 
@@ -427,7 +432,7 @@
       when_ms, [this, id = connection.id] { fail_exchange(*connections_.at(id), AttemptOutcome::reset); });
 }
 
-// Before its last byte was written a request never ran; after that it may have.
+// A request can't have run before its last byte was written; after that it may have.
 void UpstreamPool::fail_exchange(Connection& connection, AttemptOutcome outcome_if_sent) {
   const bool is_sent = connection.stage == Stage::awaiting_response;
   complete_exchange(connection, is_sent ? outcome_if_sent : AttemptOutcome::connect_failed, {}, false);
@@ -444,8 +449,8 @@
   const double duration_ms = ended_at_ms - connection.started_at_ms;
   const auto on_complete = std::move(connection.exchange.on_complete);
   connection.exchange = {};
-  // An endpoint that has gone, moved or restarted meanwhile: its id, or the next one's at its address, must
-  // not get this connection.
+  // If the endpoint was removed, moved or restarted meanwhile, the connection must not be reused for its id,
+  // or for the next endpoint at its address.
   if (may_reuse && is_endpoint_current(connection))
     keep_idle(connection);
   else
--- a/src/proxy/upstream_pool.h
+++ b/src/proxy/upstream_pool.h
@@ -1,6 +1,6 @@
 /// @file
-/// Connections to endpoints: opened, reused, retired, and one exchange at a time on each. Decides nothing; an
-/// exchange ends with one of the load balancer's outcomes.
+/// The connections to endpoints: the pool opens, reuses and retires them, and runs one exchange at a time on
+/// each. It makes no load balancing decisions; an exchange ends with one of the load balancer's outcomes.
 #pragma once
 
 #include <cstdint>
@@ -32,46 +32,47 @@
   using Exchange = indigorill::Exchange;
   using IdleCountHandler = std::function<void(const std::string& endpoint_id, std::size_t connections)>;
 
-  /// All references must outlive the pool. `close_idle_client` closes some idle connection of a client, and
+  /// All references must outlive the pool. `close_idle_client` closes an idle connection of some client, and
   /// returns false if there is none.
   UpstreamPool(EventLoop& event_loop, FileDescriptorBudget& descriptor_budget, Counters& counters,
                Logger& logger, ConnectionConfig config, std::function<bool()> close_idle_client);
 
-  /// `started_at_ms`: when the process there began, 0 for long ago. Idle connections to an endpoint that
-  /// moved, restarted or is no longer ready are closed.
+  /// `started_at_ms`: when the endpoint's process started; 0 if long ago. Idle connections to an endpoint
+  /// that moved, restarted or is no longer ready are closed.
   void update_endpoint(const std::string& endpoint_id, const std::string& address,
                        EndpointState state = EndpointState::ready, double started_at_ms = 0);
-  /// Closes idle connections there.
+  /// Also closes the idle connections to the endpoint.
   void remove_endpoint(const std::string& endpoint_id);
-  /// Closes idle connections to an ejected endpoint. What is on its way there is left to
+  /// Closes idle connections to an ejected endpoint. Exchanges in progress are left to
   /// withdraw_unsent_exchanges().
   void set_ejected_manually(const std::string& endpoint_id, bool ejected);
   /// Removes all endpoints but these.
   void retain_endpoints(const std::vector<Endpoint>& endpoints);
-  /// What has not one byte written, and leads to an endpoint that may not be used any more or to a process
-  /// that is no longer there, ends as withdrawn: a connect in flight when an endpoint drains would else be
-  /// written to after the grace. Called when the load balancer has heard of it, or it would select the same
-  /// again.
+  /// Ends as withdrawn each exchange that has not written a byte and whose endpoint may not be used any more,
+  /// or whose process there has been replaced. Otherwise a connection that is being established when an
+  /// endpoint drains would be written to after the drain grace. To be called after the load balancer was
+  /// notified of the change, because it would select the same endpoint again otherwise.
   void withdraw_unsent_exchanges();
 
   /// `on_complete` is called once, after this has returned, unless the exchange is abandoned before. What the
-  /// request borrows must last until then.
+  /// request borrows must stay valid until then.
   ExchangeId start_exchange(const std::string& endpoint_id, WriteBuffer request, double timeout_ms,
                             Exchange exchange);
-  /// More of a long response is wanted.
+  /// Requests more of a long response.
   void resume_response(ExchangeId id);
-  /// The next piece of a long request. True if more may be given at once. The last piece starts this timeout
-  /// for the response.
+  /// Sends the next piece of a long request. Returns true if more may be passed at once. The last piece
+  /// starts `timeout_ms`, the timeout for the response.
   bool send_request_body(ExchangeId id, std::string bytes, bool last, double timeout_ms);
-  /// Closes the connection of the exchange, so that the endpoint may stop.
+  /// Closes the connection of the exchange, so that the endpoint can stop working on it.
   void abandon_exchange(ExchangeId id);
-  /// The request's last byte is still to be written: who abandons it now cancels nothing, as it never began.
+  /// The request's last byte has not been written yet. Abandoning the exchange then cancels no work, because
+  /// the endpoint has not begun.
   bool is_unsent(ExchangeId id) const;
 
   /// Closes the connection that has been idle for longest; false if there is none.
   bool close_idle_connection();
 
-  /// Called with the number of idle connections to an endpoint, each time that it changes.
+  /// Sets the handler that is called with the number of idle connections to an endpoint when it changes.
   void on_idle_count_changed(IdleCountHandler handler) { on_idle_count_changed_ = std::move(handler); }
 
  private:
@@ -80,8 +81,8 @@
 
   struct EndpointEntry {
     sockaddr_in address{};
-    std::vector<ExchangeId> idle_connections;  // the last used is at the end
-    std::uint64_t process_generation = 0;      // another number for each process that is heard of there
+    std::vector<ExchangeId> idle_connections;  // the last used one is at the end
+    std::uint64_t process_generation = 0;      // a new number for each process listed there
     double started_at_ms = 0;
     bool ejected_manually = false;
     bool is_ready = true;
@@ -134,7 +135,7 @@
   IdleCountHandler on_idle_count_changed_ = [](const std::string&, std::size_t) {};
   ExchangeId last_exchange_id_ = 0;
   std::uint64_t last_process_generation_ = 0;
-  double last_extra_response_at_ms_ = -1e18;  // when an endpoint last wrote more than its response
+  double last_extra_response_at_ms_ = -1e18;  // when an endpoint last sent more than its response
   std::unordered_map<std::string, EndpointEntry> endpoints_;
   std::unordered_map<ExchangeId, std::unique_ptr<Connection>> connections_;
   std::set<std::pair<double, ExchangeId>> idle_by_last_use_;
