--- a/src/proxy/sidecar.cpp
+++ b/src/proxy/sidecar.cpp
@@ -10,12 +10,12 @@
 namespace indigorill {
 namespace {
 
-// The quota of retries that all sidecars of a fleet share, by its name in the config of the cluster.
+// The name, in the config of the cluster, of the quota of retries that all sidecars of a fleet share.
 constexpr const char* retry_quota_name = "further_picks";
 
-// Descriptors that are in nobody's budget. Throws where they would take half of what is allowed.
+// Descriptors that are in no budget. Throws ConfigError if they would take half or more of the allowed ones.
 std::size_t checked_reserved_descriptors(const SidecarConfig& config) {
-  // Standard input, output and error, epoll, signals, the listener, and some to spare.
+  // Standard input, output and error, epoll, signals, the listener, and a reserve.
   constexpr std::size_t own_descriptors = 16;
   constexpr std::size_t cluster_descriptors = 1;
   const std::size_t reserved = own_descriptors +
@@ -36,7 +36,7 @@
   return hot_restart ? hot_restart->policy().limit_fraction() : 1;
 }
 
-// For how long a client waits at most, as far as the config tells.
+// The longest time that a client waits, according to the config.
 double longest_client_wait_ms(const LoadBalancerConfig& config) {
   double longest_ms = 0;
   for (const MethodConfig& method : config.methods)
@@ -92,7 +92,7 @@
 }
 
 std::size_t Sidecar::descriptor_limit() const {
-  // The reserved ones count as part of the fraction.
+  // The reserved descriptors are part of this process's fraction.
   constexpr std::size_t least = 4;  // the connection to discovery and a few others
   const auto allowed = static_cast<std::size_t>(limit_fraction(hot_restart_.get()) *
                                                 static_cast<double>(config_.max_descriptors));
@@ -101,8 +101,8 @@
 
 HttpServer::Limits Sidecar::http_server_limits() const {
   // Clients hold a third of the descriptors at most for requests, so a third is enough for their attempts,
-  // and half of what they may hold may be idle. A third of the memory for requests leaves as much for
-  // responses and as much for what the allocator wastes.
+  // and half of what they may hold may be idle. A third of the memory is for requests, which leaves a
+  // third for responses and a third for the overhead of the allocator.
   const std::size_t descriptors = descriptor_budget_.limit;
   const double memory_bytes =
       limit_fraction(hot_restart_.get()) * static_cast<double>(config_.max_memory_bytes);
@@ -131,7 +131,7 @@
 void Sidecar::start_hot_restart() {
   const EjectionRecord& record = hot_restart_->ejections();
   apply_ejections(record);
-  // These were restored before this process started.
+  // These endpoints were restored before this process started.
   for (const auto& [id, restored_at_ms] : record.restored_at_ms)
     dispatcher_.set_ejected_manually(id, false, restored_at_ms);
   hot_restart_->start([this] { on_hot_restart_change(); },
@@ -160,7 +160,8 @@
 }
 
 void Sidecar::use_fleet_retry_quota() {
-  // Without the cluster for a moment, between two processes of this sidecar, no shared quota is spent.
+  // While this process is not part of the cluster, as for a moment during a hot restart, the shared quota is
+  // empty.
   dispatcher_.use_fleet_retry_quota({
       .remaining = [this] { return cluster_node_ ? cluster_node_->available(retry_quota_name) : 0; },
       .try_consume = [this] { return cluster_node_ && cluster_node_->try_acquire(retry_quota_name); },
@@ -171,7 +172,8 @@
   });
 }
 
-// Of two processes of a sidecar one at a time takes part: the parent until the child serves.
+// Only one of the two processes of a sidecar is part of the cluster at a time: the parent until the child
+// serves.
 void Sidecar::join_cluster() {
   if (!config_.cluster || cluster_node_) return;
   cluster_node_ = std::make_unique<ClusterNode>(event_loop_, logger_, *config_.cluster, config_.seed + 2);
@@ -286,14 +288,14 @@
 }
 
 void Sidecar::on_hot_restart_change() {
-  // ms; a parent process that stands still must not keep the child from serving.
+  // A parent process that is suspended must not keep the child from serving.
   constexpr double longest_wait_ms = 500;
   const HotRestartPolicy& policy = hot_restart_->policy();
   reduce_to_limits();
   const bool limits_reduced = policy.is_parent() && descriptor_budget_.open_count <= descriptor_budget_.limit;
   if (limits_reduced && !policy.own_record().limits_reduced) {
     hot_restart_->write_endpoint_list(encode_endpoint_list(endpoints_.snapshot()));
-    ::malloc_trim(0);  // what is free here is room for the child only once the kernel has it back
+    ::malloc_trim(0);  // the child can use freed memory only once the kernel has it back
   }
   hot_restart_->set_limits_reduced(limits_reduced);
   if (!serving_ && (policy.can_start_serving() || event_loop_.now() > started_at_ms_ + longest_wait_ms)) {
@@ -315,8 +317,9 @@
   try {
     endpoints_.apply(parse_endpoint_list(*text), EndpointRegistry::Source::restored);
   } catch (const ParseError& error) {
-    logger_.warning() << "the parent process left no valid endpoint list, ours stays in force: "
-                      << error.what();
+    logger_.warning()
+        << "the parent process left no valid endpoint list; the one of this process stays in force: "
+        << error.what();
   }
 }
 
@@ -324,17 +327,19 @@
   const HotRestartPolicy& policy = hot_restart_->policy();
   if (std::exchange(was_paired_, policy.is_paired()) != policy.is_paired()) {
     if (policy.is_parent())
-      logger_.info() << "a child process of this sidecar starts, half of the limits are its";
+      logger_.info() << "a child process of this sidecar is running; it may use up to half of the limits";
     else if (policy.is_child())
-      logger_.info() << "a parent process of this sidecar runs, half of the limits are ours";
+      logger_.info()
+          << "a parent process of this sidecar is running; this process may use up to half of the limits";
     else
-      logger_.info() << "the other process has ended, all of the limits are ours";
+      logger_.info() << "the other process has ended; this process may use all of the limits";
   }
   if (std::exchange(was_force_closing_, policy.is_force_closing()) != policy.is_force_closing()) {
     if (policy.is_force_closing())
-      logger_.info() << "the child process serves, client connections move over to it";
+      logger_.info() << "the child process serves; each response closes its client connection, so that "
+                        "clients move to the child";
     else
-      logger_.info() << "the child process has gone, client connections are accepted again";
+      logger_.info() << "the child process no longer serves; this process accepts client connections again";
   }
 }
 
--- a/src/proxy/sidecar.h
+++ b/src/proxy/sidecar.h
@@ -1,5 +1,5 @@
 /// @file
-/// One sidecar process: its parts, built in the order of their dependencies, and what connects them.
+/// One sidecar process: owns its parts, built in the order of their dependencies, and connects them.
 #pragma once
 
 #include <functional>
@@ -24,19 +24,19 @@
 
 class Sidecar {
  public:
-  /// Reads the config again, as SIGHUP asks for; throws ParseError if it is not sound.
+  /// Reads the config again after SIGHUP. Throws ConfigError if it is not valid.
   using ReloadConfig = std::function<SidecarConfig()>;
 
-  /// Builds all parts and restores the config's endpoint list. Throws ParseError if the limits allow too few
+  /// Builds all parts and restores the config's endpoint list. Throws ConfigError if the limits allow too few
   /// descriptors, and std::system_error if the kernel refuses a resource. `logger` must outlive the sidecar.
   Sidecar(const SidecarConfig& config, ReloadConfig reload_config, Logger& logger);
 
-  /// Opens the listeners and serves until SIGTERM or SIGINT has come and all clients are drained. Called
-  /// once.
+  /// Opens the listeners and serves until SIGTERM or SIGINT is received and all client connections are
+  /// drained. To be called once.
   void run();
 
  private:
-  // Limits: of two processes during a hot restart, each keeps to its fraction.
+  // Limits. During a hot restart each of the two processes keeps to its fraction.
   std::size_t descriptor_limit() const;
   HttpServer::Limits http_server_limits() const;
   void reduce_to_limits();
@@ -74,11 +74,12 @@
   ReloadConfig reload_config_;
   Logger& logger_;
   std::size_t reserved_descriptors_;
-  SignalWatcher signal_watcher_;  // before all that takes time: a SIGHUP that isn't blocked ends the process
+  // Before the parts that take time to build, because an unblocked SIGHUP ends the process.
+  SignalWatcher signal_watcher_;
   FileDescriptor inherited_listener_;
   EventLoop event_loop_;
   Counters counters_;
-  std::unique_ptr<HotRestart> hot_restart_;  // null where nothing asks for it
+  std::unique_ptr<HotRestart> hot_restart_;  // null without an admin address and an inherited listener
   FileDescriptorBudget descriptor_budget_;
   UpstreamPool upstream_pool_;
   RequestDispatcher dispatcher_;
@@ -86,7 +87,7 @@
   ManualEjections ejections_;
   EndpointRegistry endpoints_;
   DiscoveryClient discovery_;
-  std::unique_ptr<ClusterNode> cluster_node_;  // null while this process doesn't take part
+  std::unique_ptr<ClusterNode> cluster_node_;  // null while this process is not part of the cluster
   EventLoop::Watch signal_watch_;
   EventLoop::Timer counters_timer_;
   AdminServer admin_server_;
--- a/src/proxy/signal_watcher.h
+++ b/src/proxy/signal_watcher.h
@@ -9,8 +9,8 @@
 namespace indigorill {
 
 /// Blocks SIGTERM, SIGINT, SIGUSR1 and SIGHUP, so that they stay pending until a SignalWatcher reads them.
-/// Called first in main(): a SIGTERM that comes while the config is read then ends the process with status 0
-/// like any other, and a SIGHUP doesn't end it. Throws std::system_error.
+/// To be called first in main(): a SIGTERM received while the config is read then ends the process with
+/// status 0 like a later one, and a SIGHUP doesn't end it. Throws std::system_error.
 void block_signals();
 
 /// Owns the descriptor over which the blocked signals are read.
@@ -22,7 +22,7 @@
   SignalWatcher();
 
   /// Calls `handler` from the loop for each signal, as long as the watch is kept. The watcher must outlive
-  /// it.
+  /// the watch.
   [[nodiscard]] EventLoop::Watch watch(EventLoop& event_loop, Handler handler) const;
 
  private:
