--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server: what clients do, its limits, and its graceful shutdown.
+// The HTTP server: the behaviour of clients, its limits and its graceful shutdown.
 #include "proxy/http_server.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 
 namespace host {
 
-TEST_CASE("what is no RPC is answered at once, and nothing is sent on") {
+TEST_CASE("a request that is not an RPC or not a valid one is answered at once and not forwarded") {
   struct {
     std::string text;
     int status;
@@ -20,7 +20,7 @@
       {"GET /-/ready HTTP/1.1\r\n\r\n", 200, false},
       {"GET /-/counters HTTP/1.1\r\n\r\n", 200, false},
       {"GET /-/else HTTP/1.1\r\n\r\n", 404, true},
-      {rpc_request_text("unheard"), 404, true},
+      {rpc_request_text("unknown"), 404, true},
       {"GET /read HTTP/1.1\r\nX-Budget: 5m\r\n\r\n", 400, true},
       {"GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget: soon\r\n\r\n", 400, true},
       {"GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Id: 2\r\nX-Budget: 5m\r\n\r\n", 400, true},
@@ -44,7 +44,7 @@
   }
 }
 
-TEST_CASE("an id that is open is refused to whoever else brings it, and free again afterwards") {
+TEST_CASE("a call id is rejected while an RPC with it is in flight and accepted afterwards") {
   SidecarHarness sidecar;
   FakeServer endpoint(sidecar.loop, {"silent", served_response});
   sidecar.update_endpoints(address_text(endpoint.address));
@@ -59,29 +59,30 @@
   CHECK(sidecar.status_of_request(sidecar.connect_client(), rpc_request_text("read", 300, 7)) == 200);
 }
 
-TEST_CASE("who says nothing, or half, has an error or a close within 3 s; who was served may rest") {
+TEST_CASE("a silent client or a partial request ends within 3 s and a served client may stay idle") {
   SidecarHarness sidecar;
   FakeServer endpoint(sidecar.loop, {served_response});
   sidecar.update_endpoints(address_text(endpoint.address));
-  TestConnection& served_one = sidecar.connect_client();
+  TestConnection& served = sidecar.connect_client();
   TestConnection& silent = sidecar.connect_client();
-  TestConnection& half = sidecar.connect_client();
-  TestConnection& late_half = sidecar.connect_client();
-  CHECK(sidecar.status_of_request(served_one, rpc_request_text()) == 200);
-  half.send("GET /read HT");
+  TestConnection& partial = sidecar.connect_client();
+  TestConnection& late_partial = sidecar.connect_client();
+  CHECK(sidecar.status_of_request(served, rpc_request_text()) == 200);
+  partial.send("GET /read HT");
   run_for(sidecar.loop, 1500);
   CHECK_FALSE(silent.is_ended);
-  late_half.send("POST /read HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc");
+  late_partial.send("POST /read HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc");
   run_for(sidecar.loop, 1450);
   CHECK(silent.is_ended);
   CHECK(silent.received.empty());
-  for (const TestConnection* client : {&half, &late_half})
+  for (const TestConnection* client : {&partial, &late_partial})
     CHECK((client->is_ended && client->received.size() == 1 && client->received[0].status == 408));
-  CHECK_FALSE(served_one.is_ended);
-  CHECK(run_until(sidecar.loop, [&] { return sidecar.budget.open_count == 2; }));  // with one to the endpoint
+  CHECK_FALSE(served.is_ended);
+  CHECK(run_until(sidecar.loop,
+                  [&] { return sidecar.budget.open_count == 2; }));  // including one to the endpoint
 }
 
-TEST_CASE("a flood of silent clients costs usual ones neither their place nor their answers") {
+TEST_CASE("a flood of silent clients displaces no client that sends requests") {
   SidecarHarness sidecar(RetrySafety::idempotent, 40);
   FakeServer endpoint(sidecar.loop, {served_response, served_response, served_response});
   sidecar.update_endpoints(address_text(endpoint.address));
@@ -96,38 +97,38 @@
   CHECK(sidecar.counters.resource_rejections == 0);
 }
 
-TEST_CASE("clients that ask once and stay, more than there is room for, are all answered") {
+TEST_CASE("more clients than the connection limit that send one request and stay are all answered") {
   SidecarHarness sidecar(RetrySafety::idempotent, 40);
   FakeServer endpoint(sidecar.loop, std::vector<std::string>(90, served_response));
   sidecar.update_endpoints(address_text(endpoint.address));
   for (int i = 0; i < 90; ++i)
     CHECK(sidecar.status_of_request(sidecar.connect_client(), rpc_request_text()) == 200);
   CHECK(sidecar.counters.resource_rejections == 0);
-  // Half of the room may rest; beyond it the young keep their connection no longer than their answer takes.
+  // Half of the 40 descriptors may be idle connections; beyond that, responses close their connections.
   CHECK(std::count_if(sidecar.connections.begin(), sidecar.connections.end(),
-                      [](const auto& s) { return s->received[0].keep_alive; }) == 20);
+                      [](const auto& client) { return client->received[0].keep_alive; }) == 20);
   CHECK(run_until(sidecar.loop, [&] { return sidecar.budget.open_count == 21; }));
 }
 
-TEST_CASE("a body of 60 MB is refused at its head, thrown away as it comes, and costs others nothing") {
+TEST_CASE("a body of 60 MB is rejected at its head and discarded without delaying other clients") {
   SidecarHarness sidecar;
   FakeServer endpoint(sidecar.loop, {served_response});
   sidecar.update_endpoints(address_text(endpoint.address));
-  TestConnection& rude = sidecar.connect_client();
+  TestConnection& uploader = sidecar.connect_client();
   TestConnection& usual = sidecar.connect_client();
   std::string rest(60 << 20, 'x');
   WriteBuffer body;
   body.append_borrowed("POST /read HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n");
   body.append_borrowed(rest);
-  CHECK(rude.stream->write(body));
+  CHECK(uploader.stream->write(body));
   CHECK(sidecar.status_of_request(usual, rpc_request_text()) == 200);
   CHECK(run_until(sidecar.loop,
-                  [&] { return !rude.stream->write(body) || body.is_complete() || rude.is_ended; }));
-  REQUIRE(rude.received.size() == 1);
-  CHECK(rude.received[0].status == 413);
+                  [&] { return !uploader.stream->write(body) || body.is_complete() || uploader.is_ended; }));
+  REQUIRE(uploader.received.size() == 1);
+  CHECK(uploader.received[0].status == 413);
 }
 
-TEST_CASE("requests in one breath are answered in order, split anywhere") {
+TEST_CASE("pipelined requests are answered in order wherever their bytes are split") {
   const std::string two = rpc_request_text() + rpc_request_text("vital");
   for (std::size_t at = 0; at < two.size(); at += 7) {
     SidecarHarness sidecar;
@@ -143,7 +144,7 @@
   }
 }
 
-TEST_CASE("few descriptors: idle connections go first, then RPCs are pushed back") {
+TEST_CASE("with few descriptors idle connections are closed first and then RPCs are rejected") {
   SidecarHarness sidecar(RetrySafety::idempotent, 8);
   FakeServer endpoint(sidecar.loop,
                       {"silent", "silent", "silent", "silent", "silent", "silent", "silent", "silent"});
@@ -154,7 +155,8 @@
   for (int i = 0; i < 4; ++i) sidecar.connect_client();
   run_for(sidecar.loop, 5);
   CHECK(sidecar.budget.open_count == 4);
-  for (int i = 0; i < 4; ++i) sidecar.connections[i]->send(rpc_request_text());  // each needs another one
+  // The attempt of each RPC needs another descriptor.
+  for (int i = 0; i < 4; ++i) sidecar.connections[i]->send(rpc_request_text());
   run_for(sidecar.loop, 5);
   CHECK(sidecar.budget.open_count == 8);
   TestConnection& more = sidecar.connect_client();
@@ -164,13 +166,13 @@
   }));
   CHECK(run_until(sidecar.loop, [&] { return more.received.size() == 1 || more.is_ended; }));
   CHECK(sidecar.budget.open_count <= 8);
-  // Room that we have not is no failure of the endpoint's.
+  // A lack of descriptors in the sidecar is not counted as a failed connect to the endpoint.
   CHECK(sidecar.counters.attempts[static_cast<std::size_t>(AttemptOutcome::connect_failed)] == 0);
   CHECK(more.received.size() == 1);
   CHECK(more.received.back().status == 503);
 }
 
-TEST_CASE("little memory: RPCs are pushed back, nothing is sent") {
+TEST_CASE("beyond the memory limit RPCs are rejected and nothing is forwarded") {
   SidecarHarness sidecar(RetrySafety::idempotent, 100, {5000, 60}, 1);
   FakeServer endpoint(sidecar.loop, {served_response});
   sidecar.update_endpoints(address_text(endpoint.address));
@@ -180,7 +182,7 @@
   CHECK(endpoint.request_targets.empty());
 }
 
-TEST_CASE("an accept that failed for want of descriptors is tried again") {
+TEST_CASE("an accept that failed for lack of descriptors is retried") {
   SidecarHarness sidecar;
   FakeServer endpoint(sidecar.loop, {served_response});
   sidecar.update_endpoints(address_text(endpoint.address));
@@ -191,14 +193,14 @@
   none.rlim_cur = 1;
   FileDescriptor late = start_connect(sidecar.address);
   ::setrlimit(RLIMIT_NOFILE, &none);
-  run_for(sidecar.loop, 3);  // the edge is spent on an accept that fails
+  run_for(sidecar.loop, 3);  // the accept fails; epoll doesn't report the backlog again
   ::setrlimit(RLIMIT_NOFILE, &before);
   TestConnection after(sidecar.loop, sidecar.client_budget, std::move(late), response);
   CHECK(sidecar.status_of_request(client, rpc_request_text()) == 200);
   CHECK(sidecar.status_of_request(after, "GET /-/ready HTTP/1.1\r\n\r\n") == 200);
 }
 
-TEST_CASE("told to stop: takes on what comes for 0.4 s, answers all with a close, then goes") {
+TEST_CASE("a draining server accepts connections for 0.4 s and closes each after its response") {
   SidecarHarness sidecar;
   FakeServer endpoint(sidecar.loop, {"silent", served_response, served_response});
   sidecar.update_endpoints(address_text(endpoint.address));
@@ -206,53 +208,53 @@
   TestConnection& idle = sidecar.connect_client();
   held.send(rpc_request_text("read", 1200));
   REQUIRE(run_until(sidecar.loop, [&] { return endpoint.request_targets.size() == 1; }));
-  bool gone = false;
-  sidecar.server.drain([&] { gone = true; });
+  bool drained = false;
+  sidecar.server.drain([&] { drained = true; });
   CHECK(sidecar.status_of_request(idle, rpc_request_text()) == 200);
   CHECK_FALSE(idle.received.back().keep_alive);
   CHECK(sidecar.status_of_request(sidecar.connect_client(), "GET /-/ready HTTP/1.1\r\n\r\n") == 503);
   run_for(sidecar.loop, 400);
-  CHECK(sidecar.status_of_request(sidecar.connect_client(), rpc_request_text()) ==
-        200);  // a new connection, late
+  // A new connection, 0.4 s after the start of the drain.
+  CHECK(sidecar.status_of_request(sidecar.connect_client(), rpc_request_text()) == 200);
   CHECK(run_until(sidecar.loop, [&] { return held.received.size() == 1; }));
-  CHECK(run_until(sidecar.loop, [&] { return gone; }));
+  CHECK(run_until(sidecar.loop, [&] { return drained; }));
   CHECK(sidecar.dispatcher.in_flight() == 0);
   CHECK(sidecar.counters.rpcs_received == sidecar.counters.rpcs_ok + sidecar.counters.rpcs_rejected);
 }
 
-TEST_CASE("told to stop: the backlog is emptied before the listener is closed") {
+TEST_CASE("a draining server empties the backlog before it closes the listener") {
   SidecarHarness sidecar(RetrySafety::idempotent, 600);
-  bool gone = false;
-  sidecar.server.drain([&] { gone = true; });
-  for (int i = 0; i < 220; ++i) {  // while the loop stands still, more than some rounds accept
+  bool drained = false;
+  sidecar.server.drain([&] { drained = true; });
+  for (int i = 0; i < 220; ++i) {  // the loop doesn't run; these are more than three batches
     sidecar.connections.push_back(std::make_unique<TestConnection>(sidecar.loop, sidecar.client_budget,
                                                                    start_connect(sidecar.address), response));
     sidecar.connections.back()->send("GET /-/ready HTTP/1.1\r\n\r\n");
   }
   for (const double end = sidecar.loop.now() + 460; sidecar.loop.now() < end;) continue;
-  CHECK(run_until(sidecar.loop, [&] { return gone; }));
+  CHECK(run_until(sidecar.loop, [&] { return drained; }));
   run_for(sidecar.loop, 5);
   CHECK(std::all_of(sidecar.connections.begin(), sidecar.connections.end(),
-                    [](const auto& s) { return s->received.size() == 1; }));
+                    [](const auto& client) { return client->received.size() == 1; }));
 }
 
-TEST_CASE("told to stop: a request half sent may still be ended, but not for ever") {
-  for (const bool ends : {true, false}) {
+TEST_CASE("a draining server lets a partial request be completed for a limited time") {
+  for (const bool completes : {true, false}) {
     SidecarHarness sidecar;
     FakeServer endpoint(sidecar.loop, {served_response});
     sidecar.update_endpoints(address_text(endpoint.address));
     TestConnection& client = sidecar.connect_client();
-    const std::string whole = rpc_request_text("read", 900);
-    client.send(whole.substr(0, 20));
+    const std::string text = rpc_request_text("read", 900);
+    client.send(text.substr(0, 20));
     run_for(sidecar.loop, 5);
-    bool gone = false;
-    sidecar.server.drain([&] { gone = true; });
+    bool drained = false;
+    sidecar.server.drain([&] { drained = true; });
     run_for(sidecar.loop, 480);
-    if (ends) client.send(whole.substr(20));
-    REQUIRE(run_until(sidecar.loop, [&] { return gone; }));
+    if (completes) client.send(text.substr(20));
+    REQUIRE(run_until(sidecar.loop, [&] { return drained; }));
     run_for(sidecar.loop, 5);
     REQUIRE(client.received.size() == 1);
-    CHECK(client.received[0].status == (ends ? 200 : 408));
+    CHECK(client.received[0].status == (completes ? 200 : 408));
   }
 }
 
