--- a/tests/logger_test.cpp
+++ b/tests/logger_test.cpp
@@ -9,20 +9,20 @@
 
 namespace indigorill {
 
-TEST_CASE("log lines are filtered by level, counters have a line each") {
+TEST_CASE("log lines are filtered by level and counters are written on a line each") {
   std::ostringstream text;
-  Logger lines(text, LogLevel::warning);
-  lines.info() << "unseen";
-  lines.warning() << "seen " << 1;
-  CHECK(text.str() == "indigorill warning: seen 1\n");
+  Logger logger(text, LogLevel::warning);
+  logger.info() << "hidden";
+  logger.warning() << "shown " << 1;
+  CHECK(text.str() == "indigorill warning: shown 1\n");
   CHECK(parse_log_level("debug") == LogLevel::debug);
   CHECK_FALSE(parse_log_level("loud"));
-  Counters client;
-  Counters::increment(client.attempts, AttemptOutcome::reset);
-  std::ostringstream listed;
-  listed << client;
-  CHECK(listed.str().find("picks_reset 1\n") != std::string::npos);
-  CHECK(listed.str().find("picks_ok 0\n") != std::string::npos);
+  Counters counters;
+  Counters::increment(counters.attempts, AttemptOutcome::reset);
+  std::ostringstream counters_text;
+  counters_text << counters;
+  CHECK(counters_text.str().find("picks_reset 1\n") != std::string::npos);
+  CHECK(counters_text.str().find("picks_ok 0\n") != std::string::npos);
 }
 
 }  // namespace indigorill
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -1,4 +1,4 @@
-// A whole sidecar in a child process: its signals.
+// The signals of a complete sidecar, which runs in a child process.
 #include "proxy/sidecar.h"
 
 #include <doctest/doctest.h>
@@ -16,22 +16,21 @@
 
 namespace host {
 
-TEST_CASE(
-    "SIGHUP: the watch moves to the file's discovery; a broken file changes nothing; SIGTERM ends all") {
+TEST_CASE("SIGHUP applies the discovery address only of a valid config file; SIGTERM ends the process") {
   EventLoop loop;
-  const std::string whole = endpoint_list_response(9, true, instance_json("a"));
-  FakeServer before(loop, {whole});
+  const std::string complete_list = endpoint_list_response(9, true, instance_json("a"));
+  FakeServer before(loop, {complete_list});
   FakeServer after(
       loop, {endpoint_list_response(3, true, instance_json("a")), endpoint_list_response(4, false, "")});
-  const std::string at = address_text(local_address(listen_on_loopback()));
+  const std::string listen_address = address_text(local_address(listen_on_loopback()));
   const std::string path = "sidecar-" + std::to_string(::getpid());
   const auto write = [&](const std::string& agent) {
-    std::ofstream(path) << R"({"name":"n","listen":")" << at << R"(","discovery":")" << agent
+    std::ofstream(path) << R"({"name":"n","listen":")" << listen_address << R"(","discovery":")" << agent
                         << R"(","seed":"1","limits":{"sockets":64},"settings":{"methods":[{"name":"read",)"
                         << R"("effect":"retryable","deadline":1000000}]}})";
   };
   const std::string old_agent = address_text(before.address);
-  const auto variable = [&](const char* name) {
+  const auto environment = [&](const char* name) {
     return std::string(name) == "LB_CONFIG"      ? path.c_str()
            : std::string(name) == "LB_DISCOVERY" ? old_agent.c_str()
                                                  : nullptr;
@@ -41,9 +40,9 @@
   if (child == 0) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     std::ostringstream text;
-    Logger lines(text, LogLevel::error);
+    Logger logger(text, LogLevel::error);
     run_sidecar(
-        load_sidecar_config(variable), [&] { return reload_sidecar_config(variable); }, lines);
+        load_sidecar_config(environment), [&] { return reload_sidecar_config(environment); }, logger);
     ::_exit(0);
   }
   CHECK(run_until(loop, [&] { return before.request_targets.size() == 2; }));
