--- a/src/proxy/http_server.cpp
+++ b/src/proxy/http_server.cpp
@@ -184,7 +184,7 @@
   });
 }
 
-// A body may be long as long as it makes progress. A client that stops halfway must get an error within 3 s,
+// A long body is accepted while it makes progress. A client that stops halfway must get an error within 3 s,
 // and one that sends a byte now and then must not keep its connection without limit.
 void HttpServer::set_body_timeout(ClientConnection& connection) {
   constexpr double longest_pause_ms = 1400;
--- a/src/proxy/sidecar.cpp
+++ b/src/proxy/sidecar.cpp
@@ -93,10 +93,11 @@
 
 std::size_t Sidecar::descriptor_limit() const {
   // The reserved descriptors are part of this process's fraction.
-  constexpr std::size_t least = 4;  // the connection to discovery and a few others
+  constexpr std::size_t min_descriptors = 4;  // for the connection to discovery and a few others
   const auto allowed = static_cast<std::size_t>(limit_fraction(hot_restart_.get()) *
                                                 static_cast<double>(config_.max_descriptors));
-  return allowed > reserved_descriptors_ + least ? allowed - reserved_descriptors_ : least;
+  return allowed > reserved_descriptors_ + min_descriptors ? allowed - reserved_descriptors_
+                                                           : min_descriptors;
 }
 
 HttpServer::Limits Sidecar::http_server_limits() const {
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -188,15 +188,15 @@
 // Without an address the exchange ends like one whose connect failed.
 void UpstreamPool::open_connection(Connection& connection, const sockaddr_in* address) {
   FileDescriptor fd;
-  const bool is_affordable =
+  const bool is_descriptor_available =
       !address || descriptor_budget_.available() > 0 || close_idle_connection() || close_idle_client_();
-  if (address && is_affordable) fd = start_connect(*address);
+  if (address && is_descriptor_available) fd = start_connect(*address);
   if (!fd) {
     // A lack of descriptors or buffers in this process must not affect the reputation of the endpoint.
-    const bool is_our_fault =
-        !is_affordable || (address && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS));
+    const bool is_local_failure =
+        !is_descriptor_available || (address && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS));
     const AttemptOutcome outcome =
-        is_our_fault ? AttemptOutcome::client_error : AttemptOutcome::connect_failed;
+        is_local_failure ? AttemptOutcome::client_error : AttemptOutcome::connect_failed;
     connection.connect_timer = event_loop_.schedule_at(
         connection.started_at_ms,
         [this, outcome, id = connection.id] { complete_exchange(*connections_.at(id), outcome, {}, false); });
