--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -1,6 +1,6 @@
-// What is owed at the instant in which something ends (docs/endings.md), on real sockets. The crossing is
-// forced: the loop is stepped by hand, a full queue holds a connect back until it is let up, bytes and an end
-// go into one round.
+// Tests on real sockets of clients, endpoints and deadlines that end while an attempt is under way
+// (docs/endings.md). The tests force the order of events: they step the loop by hand, a full backlog delays a
+// connect until the test releases it, and data and a close reach the sidecar in one iteration of its loop.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -11,91 +11,93 @@
 namespace host {
 namespace {
 
-// What one row of a table needs; all rows take their second together.
+// A sidecar and an endpoint whose connects hang. All cases run side by side, so that the second until the
+// kernel repeats a SYN is waited for only once.
 struct DelayedEndpointCase {
-  SidecarHarness proxy;
-  StalledListener delayed;
-  DelayedEndpointCase(const LoadBalancerConfig& row, ConnectionConfig with) : proxy(row, with) {}
+  SidecarHarness sidecar;
+  StalledListener endpoint;
+  DelayedEndpointCase(const LoadBalancerConfig& config, ConnectionConfig upstream)
+      : sidecar(config, upstream) {}
 };
 using DelayedEndpointCases = std::vector<std::unique_ptr<DelayedEndpointCase>>;
 
-void run_all(DelayedEndpointCases& all, double ms) {
-  const double until_then = all.front()->proxy.loop.now() + ms;
-  while (all.front()->proxy.loop.now() < until_then)
-    for (auto& one : all) {
-      one->proxy.loop.run_once(0.2);
-      one->delayed.receive();
+void run_all(DelayedEndpointCases& cases, double duration_ms) {
+  const double end_ms = cases.front()->sidecar.loop.now() + duration_ms;
+  while (cases.front()->sidecar.loop.now() < end_ms)
+    for (auto& test_case : cases) {
+      test_case->sidecar.loop.run_once(0.2);
+      test_case->endpoint.receive();
     }
 }
-void open_all_queues(DelayedEndpointCases& all) {
-  for (auto& one : all) one->delayed.release();
-  run_all(all, 1500);
+void release_all(DelayedEndpointCases& cases) {
+  for (auto& test_case : cases) test_case->endpoint.release();
+  run_all(cases, 1500);
 }
 
 struct EndpointChange {
-  const char* what;
-  void (*tell)(SidecarHarness&, const std::string& late, const std::string& other);
-  bool goes_elsewhere;
+  const char* description;
+  void (*apply)(SidecarHarness&, const std::string& address, const std::string& other_address);
+  bool uses_other_endpoint;
 };
 
 const EndpointChange endpoint_changes[] = {
-    {"nothing happens", [](SidecarHarness&, const std::string&, const std::string&) {}, false},
+    {"no change", [](SidecarHarness&, const std::string&, const std::string&) {}, false},
     {"draining",
-     [](SidecarHarness& sidecar, const std::string& late, const std::string& other) {
-       sidecar.upstreams.update_endpoint("a", late, EndpointState::draining);
-       sidecar.upstreams.update_endpoint("b", other);
+     [](SidecarHarness& sidecar, const std::string& address, const std::string& other_address) {
+       sidecar.upstreams.update_endpoint("a", address, EndpointState::draining);
+       sidecar.upstreams.update_endpoint("b", other_address);
        sidecar.dispatcher.update_endpoints(
            false, true, {make_endpoint("a", 0, EndpointState::draining), make_endpoint("b")});
      },
      true},
     {"gone",
-     [](SidecarHarness& sidecar, const std::string&, const std::string& other) {
+     [](SidecarHarness& sidecar, const std::string&, const std::string& other_address) {
        sidecar.upstreams.remove_endpoint("a");
-       sidecar.upstreams.update_endpoint("b", other);
+       sidecar.upstreams.update_endpoint("b", other_address);
        sidecar.dispatcher.update_endpoints(false, true,
                                            {make_endpoint("a", 0, EndpointState::gone), make_endpoint("b")});
      },
      true},
-    {"left out of a whole list",
-     [](SidecarHarness& sidecar, const std::string&, const std::string& other) {
-       sidecar.upstreams.update_endpoint("b", other);
+    {"missing from a complete list",
+     [](SidecarHarness& sidecar, const std::string&, const std::string& other_address) {
+       sidecar.upstreams.update_endpoint("b", other_address);
        sidecar.upstreams.retain_endpoints({make_endpoint("b")});
        sidecar.dispatcher.update_endpoints(true, true, {make_endpoint("b")});
      },
      true},
-    {"moved",
-     [](SidecarHarness& sidecar, const std::string&, const std::string& other) {
-       sidecar.upstreams.update_endpoint("a", other);
+    {"moved to another address",
+     [](SidecarHarness& sidecar, const std::string&, const std::string& other_address) {
+       sidecar.upstreams.update_endpoint("a", other_address);
        sidecar.dispatcher.update_endpoints(false, true, {make_endpoint("a")});
      },
      true},
-    {"gone, and back elsewhere in the same answer",
-     [](SidecarHarness& sidecar, const std::string&, const std::string& other) {
+    {"removed and listed at another address in one update",
+     [](SidecarHarness& sidecar, const std::string&, const std::string& other_address) {
        sidecar.upstreams.remove_endpoint("a");
-       sidecar.upstreams.update_endpoint("a", other);
+       sidecar.upstreams.update_endpoint("a", other_address);
        sidecar.dispatcher.update_endpoints(false, true,
                                            {make_endpoint("a", 0, EndpointState::gone), make_endpoint("a")});
      },
      true},
-    {"told with an address that is none",
-     [](SidecarHarness& sidecar, const std::string&, const std::string& other) {
+    {"listed with an invalid address",
+     [](SidecarHarness& sidecar, const std::string&, const std::string& other_address) {
        sidecar.upstreams.update_endpoint("a", "nowhere");
-       sidecar.upstreams.update_endpoint("b", other);
+       sidecar.upstreams.update_endpoint("b", other_address);
        sidecar.dispatcher.update_endpoints(
            false, true, {make_endpoint("a", 0, EndpointState::draining), make_endpoint("b")});
      },
      true},
-    {"started anew",
-     [](SidecarHarness& sidecar, const std::string& late, const std::string& other) {
-       sidecar.upstreams.update_endpoint("a", late, EndpointState::ready, 1e12);
-       sidecar.upstreams.update_endpoint("b", other);
+    {"restarted",
+     [](SidecarHarness& sidecar, const std::string& address, const std::string& other_address) {
+       sidecar.upstreams.update_endpoint("a", address, EndpointState::ready, 1e12);
+       sidecar.upstreams.update_endpoint("b", other_address);
        sidecar.dispatcher.update_endpoints(
            false, true, {make_endpoint("a", 1e12, EndpointState::draining), make_endpoint("b")});
      },
      true},
-    {"out by hand",
-     [](SidecarHarness& sidecar, const std::string&, const std::string& other) {
-       sidecar.upstreams.update_endpoint("b", other);
+    {"ejected manually",
+     [](SidecarHarness& sidecar, const std::string&, const std::string& other_address) {
+       sidecar.upstreams.update_endpoint("b", other_address);
        sidecar.dispatcher.update_endpoints(false, true, {make_endpoint("b")});
        sidecar.dispatcher.set_ejected_manually("a", true, 0);
      },
@@ -104,29 +106,29 @@
 
 }  // namespace
 
-TEST_CASE(
-    "a client that left is owed nothing: what waits for its connection is not sent on when that comes up") {
-  enum class Leaves { not_at_all, by_fin, by_reset, by_half_close };
-  DelayedEndpointCases all;
-  std::vector<Leaves> how;
+TEST_CASE("an attempt whose client disconnected is not sent when its pending connect succeeds") {
+  enum class Departure { none, by_fin, by_reset, by_half_close };
+  DelayedEndpointCases cases;
+  std::vector<Departure> departures;
   for (const bool cancels : {false, true})
-    for (const RetrySafety repeats :
+    for (const RetrySafety retry_safety :
          {RetrySafety::idempotent, RetrySafety::idempotency_key, RetrySafety::non_idempotent})
-      for (const Leaves by : {Leaves::not_at_all, Leaves::by_fin, Leaves::by_reset, Leaves::by_half_close}) {
-        all.push_back(std::make_unique<DelayedEndpointCase>(customer_config(true, cancels, repeats),
-                                                            slow_upstream_config));
-        how.push_back(by);
-        SidecarHarness& sidecar = all.back()->proxy;
-        sidecar.update_endpoints(address_text(all.back()->delayed.address));
+      for (const Departure departure :
+           {Departure::none, Departure::by_fin, Departure::by_reset, Departure::by_half_close}) {
+        cases.push_back(std::make_unique<DelayedEndpointCase>(customer_config(true, cancels, retry_safety),
+                                                              slow_upstream_config));
+        departures.push_back(departure);
+        SidecarHarness& sidecar = cases.back()->sidecar;
+        sidecar.update_endpoints(address_text(cases.back()->endpoint.address));
         TestConnection& client = sidecar.connect_client();
         client.send(rpc_request_text("read", 3900));
         REQUIRE(run_until(sidecar.loop, [&] { return sidecar.counters.connections_opened == 1; }));
-        if (by == Leaves::by_reset) client.stream->reset_on_close();
-        if (by == Leaves::by_half_close)
+        if (departure == Departure::by_reset) client.stream->reset_on_close();
+        if (departure == Departure::by_half_close)
           client.stream->shutdown_write();
-        else if (by != Leaves::not_at_all)
+        else if (departure != Departure::none)
           client.close();
-        if (by == Leaves::not_at_all) continue;
+        if (departure == Departure::none) continue;
         CHECK(run_until(sidecar.loop, [&] { return sidecar.counters.rpcs_abandoned == 1; }));
         run_rounds(sidecar.loop);
         CHECK(attempts_with_outcome(sidecar, AttemptOutcome::withdrawn) +
@@ -134,30 +136,32 @@
               1);
         CHECK(every_rpc_answered_once(sidecar));
       }
-  open_all_queues(all);
-  for (std::size_t i = 0; i < all.size(); ++i) {
+  release_all(cases);
+  for (std::size_t i = 0; i < cases.size(); ++i) {
     CAPTURE(i);
-    // Where the client stayed, the same connect did come up, and brought its request.
-    CHECK(all[i]->delayed.request_count() == (how[i] == Leaves::not_at_all ? 1 : 0));
+    // If the client stayed, the same connect succeeded and carried its request.
+    CHECK(cases[i]->endpoint.request_count() == (departures[i] == Departure::none ? 1 : 0));
   }
 }
 
+// Both events are pending at once after the process was suspended for a while.
 TEST_CASE(
-    "a client's end and its RPC's connect in one round, after the process stood still: the end counts "
+    "if one loop iteration reports a client disconnect and its attempt's connect the disconnect is handled "
     "first") {
-  for (const bool longer : {false, true})
+  for (const bool has_long_deadline : {false, true})
     for (const bool cancels : {false, true})
-      for (const RetrySafety repeats :
+      for (const RetrySafety retry_safety :
            {RetrySafety::idempotent, RetrySafety::idempotency_key, RetrySafety::non_idempotent})
         for (const bool by_reset : {false, true}) {
-          SidecarHarness sidecar(customer_config(longer, cancels, repeats), {5000, 3000, 300});
+          SidecarHarness sidecar(customer_config(has_long_deadline, cancels, retry_safety),
+                                 {5000, 3000, 300});
           FakeServer endpoint(sidecar.loop, {served_response});
           sidecar.update_endpoints(address_text(endpoint.address));
           TestConnection& client = sidecar.connect_client();
           run_rounds(sidecar.loop);
-          client.send(rpc_request_text("read", longer ? 3900 : 140));
+          client.send(rpc_request_text("read", has_long_deadline ? 3900 : 140));
           while (sidecar.counters.connections_opened == 0)
-            sidecar.loop.run_once(0);  // up in the kernel, not told yet
+            sidecar.loop.run_once(0);  // the kernel has connected; the loop has not reported it yet
           if (by_reset) client.stream->reset_on_close();
           client.close();
           sidecar.loop.run_once(0);
@@ -171,213 +175,229 @@
         }
 }
 
-TEST_CASE("a client that left while its RPC waits for probes is owed nothing: it is sent nowhere") {
-  for (const bool leaves : {false, true}) {
-    LoadBalancerConfig row = customer_config(true, true, RetrySafety::idempotent);
-    row.probes_report_load = true;
-    row.probe_cost = 0.0001;
-    SidecarHarness sidecar(row, slow_upstream_config);
-    FakeServer one(sidecar.loop, {});
-    FakeServer other(sidecar.loop, {});
-    sidecar.upstreams.update_endpoint("a", address_text(one.address));
-    sidecar.upstreams.update_endpoint("b", address_text(other.address));
+TEST_CASE("an RPC whose client disconnects while it awaits probes is not sent to any endpoint") {
+  for (const bool disconnects : {false, true}) {
+    LoadBalancerConfig config = customer_config(true, true, RetrySafety::idempotent);
+    config.probes_report_load = true;
+    config.probe_cost = 0.0001;
+    SidecarHarness sidecar(config, slow_upstream_config);
+    FakeServer first_endpoint(sidecar.loop, {});
+    FakeServer second_endpoint(sidecar.loop, {});
+    sidecar.upstreams.update_endpoint("a", address_text(first_endpoint.address));
+    sidecar.upstreams.update_endpoint("b", address_text(second_endpoint.address));
     sidecar.dispatcher.update_endpoints(true, false, {make_endpoint("a"), make_endpoint("b")});
     TestConnection& client = sidecar.connect_client();
     client.send(rpc_request_text("read", 3900));
-    const auto asked = [&](const char* target) {
-      return std::count(one.request_targets.begin(), one.request_targets.end(), target) +
-             std::count(other.request_targets.begin(), other.request_targets.end(), target);
+    const auto request_count = [&](const char* target) {
+      return std::count(first_endpoint.request_targets.begin(), first_endpoint.request_targets.end(),
+                        target) +
+             std::count(second_endpoint.request_targets.begin(), second_endpoint.request_targets.end(),
+                        target);
     };
-    REQUIRE(run_until(sidecar.loop, [&] { return asked("/-/load") > 0; }));
-    REQUIRE(asked("/read") == 0);
-    if (leaves) client.close();
-    run_for(sidecar.loop, 400);  // an RPC waits for them no longer than a part of that
-    CHECK(asked("/read") == (leaves ? 0 : 1));
-    if (leaves) CHECK(every_rpc_answered_once(sidecar));
+    REQUIRE(run_until(sidecar.loop, [&] { return request_count("/-/load") > 0; }));
+    REQUIRE(request_count("/read") == 0);
+    if (disconnects) client.close();
+    run_for(sidecar.loop, 400);  // longer than an RPC waits for probes
+    CHECK(request_count("/read") == (disconnects ? 0 : 1));
+    if (disconnects) CHECK(every_rpc_answered_once(sidecar));
   }
 }
 
 TEST_CASE(
-    "an endpoint that drains, goes, moves or starts anew is owed no byte of what still connects to it") {
-  DelayedEndpointCases all;
-  std::vector<bool> stays;
-  std::vector<std::unique_ptr<FakeServer>> others;
+    "a connecting attempt is withdrawn and sent elsewhere if its endpoint drains or moves or restarts or is "
+    "removed or ejected") {
+  DelayedEndpointCases cases;
+  std::vector<bool> uses_same_endpoint;
+  std::vector<std::unique_ptr<FakeServer>> other_endpoints;
   for (const bool cancels : {false, true})
-    for (const RetrySafety repeats : {RetrySafety::idempotent, RetrySafety::non_idempotent})
-      for (const EndpointChange& row : endpoint_changes) {
-        CAPTURE(std::string(row.what));
-        all.push_back(std::make_unique<DelayedEndpointCase>(customer_config(true, cancels, repeats),
-                                                            slow_upstream_config));
-        SidecarHarness& sidecar = all.back()->proxy;
-        others.push_back(
+    for (const RetrySafety retry_safety : {RetrySafety::idempotent, RetrySafety::non_idempotent})
+      for (const EndpointChange& change : endpoint_changes) {
+        CAPTURE(std::string(change.description));
+        cases.push_back(std::make_unique<DelayedEndpointCase>(customer_config(true, cancels, retry_safety),
+                                                              slow_upstream_config));
+        SidecarHarness& sidecar = cases.back()->sidecar;
+        other_endpoints.push_back(
             std::make_unique<FakeServer>(sidecar.loop, std::vector<std::string>{served_response}));
-        FakeServer& other = *others.back();
-        const std::string late = address_text(all.back()->delayed.address);
-        sidecar.update_endpoints(late);
+        FakeServer& other_endpoint = *other_endpoints.back();
+        const std::string address = address_text(cases.back()->endpoint.address);
+        sidecar.update_endpoints(address);
         TestConnection& client = sidecar.connect_client();
         client.send(rpc_request_text("read", 3900));
         REQUIRE(run_until(sidecar.loop, [&] { return sidecar.counters.connections_opened == 1; }));
-        row.tell(sidecar, late, address_text(other.address));
-        stays.push_back(!row.goes_elsewhere);
-        if (!row.goes_elsewhere) continue;
+        change.apply(sidecar, address, address_text(other_endpoint.address));
+        uses_same_endpoint.push_back(!change.uses_other_endpoint);
+        if (!change.uses_other_endpoint) continue;
         REQUIRE(run_until(sidecar.loop, [&] { return client.received.size() == 1; }));
         CHECK(client.received[0].status == 200);
         CHECK(attempts_with_outcome(sidecar, AttemptOutcome::withdrawn) == 1);
         CHECK(attempts_with_outcome(sidecar, AttemptOutcome::connect_failed) ==
-              0);  // it is no fault of the endpoint's
-        CHECK(other.request_targets.size() == 1);
+              0);  // the endpoint is not at fault
+        CHECK(other_endpoint.request_targets.size() == 1);
         CHECK(every_rpc_answered_once(sidecar));
       }
-  open_all_queues(all);
-  for (std::size_t i = 0; i < all.size(); ++i) {
+  release_all(cases);
+  for (std::size_t i = 0; i < cases.size(); ++i) {
     CAPTURE(i);
-    CHECK(all[i]->delayed.request_count() == (stays[i] ? 1 : 0));
+    CHECK(cases[i]->endpoint.request_count() == (uses_same_endpoint[i] ? 1 : 0));
   }
 }
 
-TEST_CASE("a group is owed no repeat that it may have forgotten, though its connection comes up late") {
-  DelayedEndpointCases all;
-  std::vector<std::unique_ptr<FakeServer>> firsts;
-  const std::array<double, 2> remembered{600, 20000};
+TEST_CASE(
+    "a retry with an idempotency key is withdrawn if the deduplication window ends before its connect "
+    "succeeds") {
+  DelayedEndpointCases cases;
+  std::vector<std::unique_ptr<FakeServer>> first_endpoints;
+  const std::array<double, 2> windows_ms{600, 20000};
   for (const bool cancels : {false, true})
-    for (const double remembers : remembered) {
-      LoadBalancerConfig row = customer_config(true, cancels, RetrySafety::idempotency_key);
-      for (MethodConfig& m : row.methods) m.deduplication_window_ms = remembers;
-      all.push_back(std::make_unique<DelayedEndpointCase>(row, slow_upstream_config));
-      SidecarHarness& sidecar = all.back()->proxy;
-      firsts.push_back(std::make_unique<FakeServer>(sidecar.loop, std::vector<std::string>{"silent"}));
-      FakeServer& first = *firsts.back();
-      sidecar.update_endpoints(address_text(first.address));
+    for (const double window_ms : windows_ms) {
+      LoadBalancerConfig config = customer_config(true, cancels, RetrySafety::idempotency_key);
+      for (MethodConfig& method : config.methods) method.deduplication_window_ms = window_ms;
+      cases.push_back(std::make_unique<DelayedEndpointCase>(config, slow_upstream_config));
+      SidecarHarness& sidecar = cases.back()->sidecar;
+      first_endpoints.push_back(
+          std::make_unique<FakeServer>(sidecar.loop, std::vector<std::string>{"silent"}));
+      FakeServer& first_endpoint = *first_endpoints.back();
+      sidecar.update_endpoints(address_text(first_endpoint.address));
       TestConnection& client = sidecar.connect_client();
       client.send(rpc_request_text("read", 3900));
-      REQUIRE(run_until(sidecar.loop, [&] { return first.request_targets.size() == 1; }));
-      sidecar.upstreams.update_endpoint("b", address_text(all.back()->delayed.address));
+      REQUIRE(run_until(sidecar.loop, [&] { return first_endpoint.request_targets.size() == 1; }));
+      sidecar.upstreams.update_endpoint("b", address_text(cases.back()->endpoint.address));
       sidecar.dispatcher.update_endpoints(true, true, {make_endpoint("b")});
-      first.connections[0]->close();  // it may have run: the repeat goes to b, whose connect hangs
+      first_endpoint.connections[0]->close();  // it may have run; the retry goes to b, whose connect hangs
       REQUIRE(run_until(sidecar.loop, [&] { return sidecar.counters.connections_opened == 2; }));
     }
-  run_all(all, 700);
-  for (std::size_t i = 0; i < all.size(); ++i) {
+  run_all(cases, 700);
+  for (std::size_t i = 0; i < cases.size(); ++i) {
     CAPTURE(i);
-    const bool forgets = i % 2 == 0;
-    CHECK(attempts_with_outcome(all[i]->proxy, AttemptOutcome::withdrawn) == (forgets ? 1 : 0));
-    CHECK(all[i]->proxy.connections[0]->received.size() ==
-          (forgets ? 1 : 0));  // answered at once, as there is no way left
+    const bool window_has_ended = i % 2 == 0;
+    CHECK(attempts_with_outcome(cases[i]->sidecar, AttemptOutcome::withdrawn) == (window_has_ended ? 1 : 0));
+    CHECK(cases[i]->sidecar.connections[0]->received.size() ==
+          (window_has_ended ? 1 : 0));  // answered at once, as no further attempt is allowed
   }
-  open_all_queues(all);
-  for (std::size_t i = 0; i < all.size(); ++i) CHECK(all[i]->delayed.request_count() == i % 2);
+  release_all(cases);
+  for (std::size_t i = 0; i < cases.size(); ++i) CHECK(cases[i]->endpoint.request_count() == i % 2);
 }
 
-TEST_CASE("an endpoint is told how long is left when its connection is up, not when that was begun") {
-  DelayedEndpointCases all;
-  all.push_back(std::make_unique<DelayedEndpointCase>(customer_config(true, true, RetrySafety::idempotent),
-                                                      slow_upstream_config));
-  SidecarHarness& sidecar = all[0]->proxy;
-  sidecar.update_endpoints(address_text(all[0]->delayed.address));
+TEST_CASE("the budget sent to an endpoint is the time left when the connect succeeds and not when it began") {
+  DelayedEndpointCases cases;
+  cases.push_back(std::make_unique<DelayedEndpointCase>(customer_config(true, true, RetrySafety::idempotent),
+                                                        slow_upstream_config));
+  SidecarHarness& sidecar = cases[0]->sidecar;
+  sidecar.update_endpoints(address_text(cases[0]->endpoint.address));
   sidecar.connect_client().send(rpc_request_text("read", 3900));
   REQUIRE(run_until(sidecar.loop, [&] { return sidecar.counters.connections_opened == 1; }));
-  open_all_queues(all);
-  const std::string& heard = all[0]->delayed.received;
-  const std::size_t at = heard.find("X-Budget: ");
+  release_all(cases);
+  const std::string& received = cases[0]->endpoint.received;
+  const std::size_t at = received.find("X-Budget: ");
   REQUIRE(at != std::string::npos);
-  const double told = std::stod(heard.substr(at + 10)) / 1000;
-  CHECK(told < 3000);
-  CHECK(told > 1500);
+  const double budget_ms = std::stod(received.substr(at + 10)) / 1000;
+  CHECK(budget_ms < 3000);
+  CHECK(budget_ms > 1500);
 }
 
 TEST_CASE(
-    "a connect that hangs costs an RPC less than half of its time: then it goes elsewhere or is answered") {
-  for (const bool longer : {false, true})
-    for (const bool elsewhere : {false, true}) {
-      CAPTURE(longer);
-      CAPTURE(elsewhere);
-      SidecarHarness sidecar(customer_config(longer, longer, RetrySafety::non_idempotent), {5000, 3000, 300});
+    "a connect that hangs is given up within half of the budget and another endpoint is tried or the RPC "
+    "answered") {
+  for (const bool has_long_deadline : {false, true})
+    for (const bool has_other_endpoint : {false, true}) {
+      CAPTURE(has_long_deadline);
+      CAPTURE(has_other_endpoint);
+      SidecarHarness sidecar(
+          customer_config(has_long_deadline, has_long_deadline, RetrySafety::non_idempotent),
+          {5000, 3000, 300});
       StalledListener stalled;
-      FakeServer b(sidecar.loop, {served_response});
+      FakeServer other_endpoint(sidecar.loop, {served_response});
       sidecar.update_endpoints(address_text(stalled.address));
       TestConnection& client = sidecar.connect_client();
-      const double budget = longer ? 1000 : 150;
-      const double began = sidecar.loop.now();
-      client.send(rpc_request_text("read", static_cast<int>(budget)));
+      const double budget_ms = has_long_deadline ? 1000 : 150;
+      const double started_at_ms = sidecar.loop.now();
+      client.send(rpc_request_text("read", static_cast<int>(budget_ms)));
       REQUIRE(run_until(sidecar.loop, [&] { return sidecar.counters.connections_opened == 1; }));
-      if (elsewhere) {
-        sidecar.upstreams.update_endpoint("b", address_text(b.address));
+      if (has_other_endpoint) {
+        sidecar.upstreams.update_endpoint("b", address_text(other_endpoint.address));
         sidecar.dispatcher.update_endpoints(false, true, {make_endpoint("b")});
       }
       REQUIRE(run_until(sidecar.loop, [&] { return client.received.size() == 1; }));
-      CHECK(sidecar.loop.now() - began < budget / 2 + 40);
-      // To the same server again, where no other is known: by its weight it may come first with another, too.
-      if (!elsewhere) CHECK(client.received[0].status == 503);
+      CHECK(sidecar.loop.now() - started_at_ms < budget_ms / 2 + 40);
+      // Without another endpoint, a retry can only go to the same server. With one, the weighted draw may
+      // still select the stalled server, so the status is not checked.
+      if (!has_other_endpoint) CHECK(client.received[0].status == 503);
       CHECK(every_rpc_answered_once(sidecar));
     }
 }
 
 TEST_CASE(
-    "what is over is not sent, though its connect and the end of its time are found in the same round") {
+    "an attempt is not sent if one loop iteration finds that its connect succeeded and its budget has "
+    "ended") {
   for (const bool cancels : {false, true})
-    for (const RetrySafety repeats : {RetrySafety::idempotent, RetrySafety::non_idempotent}) {
-      SidecarHarness sidecar(customer_config(false, cancels, repeats), {5000, 3000, 300});
+    for (const RetrySafety retry_safety : {RetrySafety::idempotent, RetrySafety::non_idempotent}) {
+      SidecarHarness sidecar(customer_config(false, cancels, retry_safety), {5000, 3000, 300});
       FakeServer endpoint(sidecar.loop, {served_response});
       sidecar.update_endpoints(address_text(endpoint.address));
       TestConnection& client = sidecar.connect_client();
       client.send(rpc_request_text("read", 100));
       while (sidecar.counters.connections_opened == 0)
-        sidecar.loop.run_once(0);  // the kernel has the connection up by now
+        sidecar.loop.run_once(0);  // by then the kernel has connected
       while (endpoint.connections.empty()) {
         FileDescriptor fd(::accept4(endpoint.listener.get(), nullptr, nullptr, SOCK_NONBLOCK));
         if (!fd) continue;
         endpoint.connections.push_back(
             std::make_unique<TestConnection>(sidecar.loop, endpoint.budget, std::move(fd), request));
       }
-      for (const double end = sidecar.loop.now() + 150; sidecar.loop.now() < end;)
-        continue;  // this process gets no core
+      for (const double end_ms = sidecar.loop.now() + 150; sidecar.loop.now() < end_ms;)
+        continue;  // simulates a process that gets no CPU
       REQUIRE(run_until(sidecar.loop, [&] { return client.received.size() == 1; }));
       run_for(sidecar.loop, 20);
       endpoint.connections[0]->read();
       CHECK(endpoint.connections[0]->received.empty());
-      CHECK(client.received[0].status == 503);  // it ran nowhere: a retry is harmless
+      CHECK(client.received[0].status == 503);  // the RPC did not run, so a retry is harmless
       CHECK(every_rpc_answered_once(sidecar));
     }
 }
 
-TEST_CASE("a client's end is seen behind what is not read: nothing of all that it sent is sent on after it") {
+TEST_CASE(
+    "a client's close is noticed although its input is not read to the end and nothing is forwarded after "
+    "it") {
   struct {
-    const char* what;
-    int whole;           // further requests behind the first
-    std::size_t behind;  // bytes of one more that is not whole
-    bool held;           // the first is at the endpoint when the end comes; else all comes in one round
+    const char* description;
+    int complete_requests;         // after the first one
+    std::size_t incomplete_bytes;  // body bytes of a last request that is incomplete; 0 without one
+    bool is_in_flight;  // the first is at the endpoint before the close; else all arrives in one loop
+                        // iteration
   } table[] = {
-      {"one request, and gone", 0, 0, false},
-      {"more than is read ahead of the next one, held", 0, 20000, true},
-      {"more than is read ahead of the next one, in one breath", 0, 20000, false},
-      {"a hundred requests at once, and gone", 100, 0, false},
-      {"a hundred requests at once, the first held, and gone", 100, 0, true},
+      {"one request, then the close", 0, 0, false},
+      {"more of the next request than is read ahead, the first in flight", 0, 20000, true},
+      {"more of the next request than is read ahead, then the close", 0, 20000, false},
+      {"a hundred more requests at once, then the close", 100, 0, false},
+      {"a hundred more requests at once, the first in flight", 100, 0, true},
   };
   for (const bool cancels : {false, true})
     for (const auto& row : table) {
-      CAPTURE(std::string(row.what));
+      CAPTURE(std::string(row.description));
       SidecarHarness sidecar(customer_config(true, cancels, RetrySafety::idempotent), {5000, 60, 300});
       FakeServer endpoint(sidecar.loop, {"silent"});
       sidecar.update_endpoints(address_text(endpoint.address));
       TestConnection& client = sidecar.connect_client();
       run_rounds(sidecar.loop);
-      std::string all = rpc_request_text("read", 3000);
-      for (int i = 0; i < row.whole; ++i) all += rpc_request_text("read", 3000);
-      if (row.behind > 0)
-        all += "POST /read HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + std::string(row.behind, 'x');
-      if (row.held) {
-        client.send(all);
+      std::string input = rpc_request_text("read", 3000);
+      for (int i = 0; i < row.complete_requests; ++i) input += rpc_request_text("read", 3000);
+      if (row.incomplete_bytes > 0)
+        input +=
+            "POST /read HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + std::string(row.incomplete_bytes, 'x');
+      if (row.is_in_flight) {
+        client.send(input);
         REQUIRE(run_until(sidecar.loop, [&] { return endpoint.request_targets.size() == 1; }));
         client.close();
         CHECK(run_until(sidecar.loop, [&] { return sidecar.counters.rpcs_abandoned == 1; }));
       } else {
-        client.send(all);
+        client.send(input);
         client.close();
       }
       run_for(sidecar.loop, 30);
-      // With cancels the endpoint hears that it may stop; without them what it has goes on, and is all.
+      // With cancellation the endpoint sees its connection closed; without it the first request goes on
+      // there. No other one is sent.
       CHECK(endpoint.request_targets.size() <= 1);
-      if (!row.held) CHECK(endpoint.request_targets.empty());
+      if (!row.is_in_flight) CHECK(endpoint.request_targets.empty());
       if (!endpoint.connections.empty()) endpoint.connections[0]->send(served_response);
       run_for(sidecar.loop, 30);
       CHECK(endpoint.request_targets.size() <= 1);
@@ -386,7 +406,7 @@
     }
 }
 
-TEST_CASE("who asks whether we are ready and closes its side in the same breath is told") {
+TEST_CASE("a readiness request is answered although its client shuts down its sending side right after it") {
   SidecarHarness sidecar;
   TestConnection& client = sidecar.connect_client();
   run_rounds(sidecar.loop);
@@ -398,29 +418,31 @@
 }
 
 TEST_CASE(
-    "a client that is gone during an upload which the endpoint doesn't take is seen, and its pick given up") {
+    "a client's reset is noticed during an upload that the endpoint does not read and the attempt is "
+    "abandoned") {
   for (const bool cancels : {false, true}) {
     SidecarHarness sidecar(customer_config(true, cancels, RetrySafety::non_idempotent), {5000, 60, 300});
-    const FileDescriptor door = listen_on_loopback();  // accepts, and never reads
-    const int small = 4096;
-    ::setsockopt(door.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-    sidecar.update_endpoints(address_text(local_address(door)));
+    const FileDescriptor listener = listen_on_loopback();  // the kernel accepts connects, nothing is read
+    const int buffer_bytes = 4096;
+    ::setsockopt(listener.get(), SOL_SOCKET, SO_RCVBUF, &buffer_bytes, sizeof buffer_bytes);
+    sidecar.update_endpoints(address_text(local_address(listener)));
     TestConnection& client = sidecar.connect_client();
     WriteBuffer body;
-    const std::string long_one(24 << 20, 'x');
+    const std::string content(24 << 20, 'x');
     body.append_owned("POST /read HTTP/1.1\r\nX-Call-Id: upload\r\nX-Budget: 3000m\r\nContent-Length: " +
-                      std::to_string(long_one.size()) + "\r\n\r\n");
-    body.append_borrowed(long_one);
-    std::size_t before = 1;
-    while (body.written_bytes() != before) {  // until neither side takes any more
-      before = body.written_bytes();
+                      std::to_string(content.size()) + "\r\n\r\n");
+    body.append_borrowed(content);
+    std::size_t written_before = 1;
+    while (body.written_bytes() != written_before) {  // until the sidecar takes no more either
+      written_before = body.written_bytes();
       client.stream->write(body);
       run_for(sidecar.loop, 30);
     }
     REQUIRE_FALSE(body.is_complete());
     REQUIRE(sidecar.dispatcher.in_flight() == 1);
-    client.stream
-        ->reset_on_close();  // an end that comes behind what our machine has no room for is not here yet
+    // A FIN would wait behind the bytes for which the kernel has no room, so the sidecar could not see it
+    // yet.
+    client.stream->reset_on_close();
     client.close();
     CHECK(run_until(sidecar.loop, [&] { return sidecar.counters.rpcs_abandoned == 1; }));
     run_rounds(sidecar.loop);
