--- a/tests/endings_drain_test.cpp
+++ b/tests/endings_drain_test.cpp
@@ -1,4 +1,4 @@
-// What is owed when the process is told to stop (docs/endings.md), on real sockets.
+// Tests of the graceful shutdown (docs/endings.md), on real sockets.
 #include <doctest/doctest.h>
 
 #include "support/parts.h"
@@ -6,100 +6,102 @@
 namespace host {
 
 TEST_CASE(
-    "told to stop: what rests is given back while the door is open, so that what crosses it has where to "
-    "go") {
-  for (const bool longer : {false, true}) {
-    const int budget = longer ? 3900 : 140;
-    SidecarHarness sidecar(customer_config(longer, longer, RetrySafety::non_idempotent), {5000, 60, 300});
+    "a drain closes idle connections while the listener is still open so that a request crossing the close "
+    "can be resent") {
+  for (const bool has_long_deadline : {false, true}) {
+    const int budget_ms = has_long_deadline ? 3900 : 140;
+    SidecarHarness sidecar(customer_config(has_long_deadline, has_long_deadline, RetrySafety::non_idempotent),
+                           {5000, 60, 300});
     FakeServer endpoint(sidecar.loop, std::vector<std::string>(9, served_response));
     sidecar.update_endpoints(address_text(endpoint.address));
-    TestConnection& rests = sidecar.connect_client();
-    TestConnection& crosses = sidecar.connect_client();
+    TestConnection& idle = sidecar.connect_client();
+    TestConnection& crossing = sidecar.connect_client();
     TestConnection& unread = sidecar.connect_client();
-    for (TestConnection* client : {&rests, &crosses, &unread})
-      CHECK(sidecar.status_of_request(*client, rpc_request_text("read", budget)) == 200);
-    bool gone = false;
-    unread.send(rpc_request_text("read", budget));  // in the kernel before the word
-    sidecar.server.drain([&] { gone = true; });
-    crosses.send(rpc_request_text("read", budget));  // crosses the closing
+    for (TestConnection* client : {&idle, &crossing, &unread})
+      CHECK(sidecar.status_of_request(*client, rpc_request_text("read", budget_ms)) == 200);
+    bool is_drained = false;
+    unread.send(rpc_request_text("read", budget_ms));  // in the kernel before the drain begins
+    sidecar.server.drain([&] { is_drained = true; });
+    crossing.send(rpc_request_text("read", budget_ms));  // crosses the close of the connection
     REQUIRE(run_until(sidecar.loop,
-                      [&] { return unread.received.size() == 2 && rests.is_ended && crosses.is_ended; }));
+                      [&] { return unread.received.size() == 2 && idle.is_ended && crossing.is_ended; }));
     CHECK(unread.received[1].status == 200);
-    CHECK(crosses.received.size() == 1);
-    // It is sent once more, over a new connection, as the protocol has it.
-    TestConnection& once_more = sidecar.connect_client();
-    CHECK(sidecar.status_of_request(once_more, rpc_request_text("read", budget)) == 200);
-    CHECK_FALSE(once_more.received[0].keep_alive);
-    CHECK_FALSE(gone);
-    REQUIRE(run_until(sidecar.loop, [&] { return gone; }));
+    CHECK(crossing.received.size() == 1);
+    // As the protocol says, the client sends the request again over a new connection.
+    TestConnection& new_connection = sidecar.connect_client();
+    CHECK(sidecar.status_of_request(new_connection, rpc_request_text("read", budget_ms)) == 200);
+    CHECK_FALSE(new_connection.received[0].keep_alive);
+    CHECK_FALSE(is_drained);
+    REQUIRE(run_until(sidecar.loop, [&] { return is_drained; }));
     CHECK(every_rpc_answered_once(sidecar));
   }
 }
 
-TEST_CASE("told to stop: who connected last of all may still ask, and has an answer") {
+TEST_CASE("a client that connects just before the listener closes in a drain has its request answered") {
   SidecarHarness sidecar(customer_config(false, false, RetrySafety::non_idempotent), {5000, 60, 300});
   FakeServer endpoint(sidecar.loop, {served_response});
   sidecar.update_endpoints(address_text(endpoint.address));
-  bool gone = false;
-  sidecar.server.drain([&] { gone = true; });
+  bool is_drained = false;
+  sidecar.server.drain([&] { is_drained = true; });
   run_for(sidecar.loop, 440);
-  TestConnection last(sidecar.loop, sidecar.client_budget, start_connect(sidecar.address),
-                      response);  // in the backlog as the door is shut
-  for (const double end = sidecar.loop.now() + 15; sidecar.loop.now() < end;) continue;
+  TestConnection last_client(sidecar.loop, sidecar.client_budget, start_connect(sidecar.address),
+                             response);  // in the backlog when the listener closes
+  for (const double end_ms = sidecar.loop.now() + 15; sidecar.loop.now() < end_ms;) continue;
   run_rounds(sidecar.loop, 3);
-  CHECK_FALSE(last.is_ended);
-  last.send(rpc_request_text("read", 140));
-  REQUIRE(run_until(sidecar.loop, [&] { return last.received.size() == 1; }));
-  CHECK(last.received[0].status == 200);
-  CHECK(run_until(sidecar.loop, [&] { return gone; }));
+  CHECK_FALSE(last_client.is_ended);
+  last_client.send(rpc_request_text("read", 140));
+  REQUIRE(run_until(sidecar.loop, [&] { return last_client.received.size() == 1; }));
+  CHECK(last_client.received[0].status == 200);
+  CHECK(run_until(sidecar.loop, [&] { return is_drained; }));
   CHECK(every_rpc_answered_once(sidecar));
 }
 
-TEST_CASE("told to stop: all has ended before the kill, whatever endpoints and clients do") {
+TEST_CASE("a drain ends before the process would be killed whatever endpoints and clients do") {
   struct {
-    const char* what;
-    double deadline;  // the longest that the settings tell
-    int budget;
-    std::string says;  // the endpoint, if it says anything
-    bool reads;        // the client
+    const char* description;
+    double longest_deadline_ms;  // of all methods in the settings
+    int budget_ms;
+    std::string endpoint_output;  // empty for none; "long" for a response of 20 MB
+    bool client_reads;
     int status;
   } table[] = {
       {"an endpoint that hangs, a budget past the longest deadline", 200, 9000, "", true, 502},
-      {"an endpoint that hangs, usual times", 200, 150, "", true, 502},
-      {"an answer that never ends", 200, 9000, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", true, 502},
-      {"a long answer that is read by nobody", 200, 150, "long", false, 0},
+      {"an endpoint that hangs, a budget below the longest deadline", 200, 150, "", true, 502},
+      {"a response that stays incomplete", 200, 9000, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", true,
+       502},
+      {"a long response that the client does not read", 200, 150, "long", false, 0},
   };
   for (const bool cancels : {false, true})
     for (const auto& row : table) {
-      CAPTURE(std::string(row.what));
-      LoadBalancerConfig where = customer_config(true, cancels, RetrySafety::non_idempotent);
-      for (MethodConfig& m : where.methods) m.latency_objective_ms = row.budget;
-      SidecarHarness sidecar(where, {5000, 60, 300}, 100, 64 << 20, row.deadline);
+      CAPTURE(std::string(row.description));
+      LoadBalancerConfig config = customer_config(true, cancels, RetrySafety::non_idempotent);
+      for (MethodConfig& method : config.methods) method.latency_objective_ms = row.budget_ms;
+      SidecarHarness sidecar(config, {5000, 60, 300}, 100, 64 << 20, row.longest_deadline_ms);
       FakeServer endpoint(sidecar.loop, {"silent"});
       sidecar.update_endpoints(address_text(endpoint.address));
       TestConnection& client = sidecar.connect_client();
-      client.send(rpc_request_text("read", row.budget));
+      client.send(rpc_request_text("read", row.budget_ms));
       REQUIRE(run_until(sidecar.loop, [&] { return endpoint.request_targets.size() == 1; }));
-      WriteBuffer flood;
+      WriteBuffer output;
       const std::string body(20 << 20, 'y');
-      if (row.says == "long") {
-        flood.append_owned("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n");
-        flood.append_borrowed(body);
+      if (row.endpoint_output == "long") {
+        output.append_owned("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n");
+        output.append_borrowed(body);
       } else {
-        flood.append_owned(row.says);
+        output.append_owned(row.endpoint_output);
       }
-      if (!row.reads) {
-        client.is_ended = true;  // it looks at nothing any more
+      if (!row.client_reads) {
+        client.is_ended = true;  // the client stops reading
       }
-      const double told = sidecar.loop.now();
-      double gone = 0;
-      sidecar.server.drain([&] { gone = sidecar.loop.now(); });
-      while (gone == 0 && sidecar.loop.now() < told + 2500) {
-        if (!flood.is_complete()) endpoint.connections[0]->stream->write(flood);
+      const double started_at_ms = sidecar.loop.now();
+      double drained_at_ms = 0;
+      sidecar.server.drain([&] { drained_at_ms = sidecar.loop.now(); });
+      while (drained_at_ms == 0 && sidecar.loop.now() < started_at_ms + 2500) {
+        if (!output.is_complete()) endpoint.connections[0]->stream->write(output);
         sidecar.loop.run_once(5);
       }
-      CHECK(gone > 0);
-      CHECK(gone - told < row.deadline + 700);
+      CHECK(drained_at_ms > 0);
+      CHECK(drained_at_ms - started_at_ms < row.longest_deadline_ms + 700);
       CHECK(sidecar.dispatcher.in_flight() == 0);
       if (!row.status) continue;
       run_for(sidecar.loop, 5);
@@ -110,39 +112,40 @@
 }
 
 TEST_CASE(
-    "told to stop twice, with requests half sent, pipelined, waiting and connecting: each has one end") {
-  for (const bool longer : {false, true}) {
-    CAPTURE(longer);
-    SidecarHarness sidecar(customer_config(longer, longer, RetrySafety::non_idempotent), {5000, 3000, 300},
-                           100, 64 << 20, longer ? 400 : 150);
+    "a second drain call has no effect and each half-sent or pipelined or waiting or connecting request ends "
+    "once") {
+  for (const bool has_long_deadline : {false, true}) {
+    CAPTURE(has_long_deadline);
+    SidecarHarness sidecar(customer_config(has_long_deadline, has_long_deadline, RetrySafety::non_idempotent),
+                           {5000, 3000, 300}, 100, 64 << 20, has_long_deadline ? 400 : 150);
     FakeServer endpoint(sidecar.loop,
                         {served_response, "silent", served_response, served_response, served_response});
-    StalledListener late;
+    StalledListener stalled;
     sidecar.upstreams.update_endpoint("a", address_text(endpoint.address));
     sidecar.dispatcher.update_endpoints(true, false, {make_endpoint("a")});
-    TestConnection& half = sidecar.connect_client();
+    TestConnection& half_sent = sidecar.connect_client();
     TestConnection& pipelined = sidecar.connect_client();
-    TestConnection& waits = sidecar.connect_client();
-    TestConnection& connects = sidecar.connect_client();
+    TestConnection& waiting = sidecar.connect_client();
+    TestConnection& connecting = sidecar.connect_client();
     const std::string text = rpc_request_text("read", 140);
-    half.send(text.substr(0, 30));
+    half_sent.send(text.substr(0, 30));
     pipelined.send(rpc_request_text("read", 140) + rpc_request_text("read", 140));
     REQUIRE(run_until(sidecar.loop, [&] { return pipelined.received.size() == 1; }));
-    waits.send(rpc_request_text("read", 140));
-    sidecar.upstreams.update_endpoint("b", address_text(late.address));
+    waiting.send(rpc_request_text("read", 140));
+    sidecar.upstreams.update_endpoint("b", address_text(stalled.address));
     sidecar.dispatcher.update_endpoints(true, false, {make_endpoint("b")});
-    connects.send(rpc_request_text("read", 140));
+    connecting.send(rpc_request_text("read", 140));
     run_rounds(sidecar.loop);
-    int gone = 0;
-    int once_more = 0;
-    sidecar.server.drain([&] { ++gone; });
-    sidecar.server.drain([&] { ++once_more; });
-    half.send(text.substr(30));
-    REQUIRE(run_until(sidecar.loop, [&] { return gone > 0; }));
+    int drained_count = 0;
+    int second_drained_count = 0;
+    sidecar.server.drain([&] { ++drained_count; });
+    sidecar.server.drain([&] { ++second_drained_count; });
+    half_sent.send(text.substr(30));
+    REQUIRE(run_until(sidecar.loop, [&] { return drained_count > 0; }));
     run_for(sidecar.loop, 5);
-    CHECK(gone == 1);
-    CHECK(once_more == 0);
-    for (const TestConnection* client : {&half, &pipelined, &waits, &connects}) {
+    CHECK(drained_count == 1);
+    CHECK(second_drained_count == 0);
+    for (const TestConnection* client : {&half_sent, &pipelined, &waiting, &connecting}) {
       CHECK(client->received.size() >= 1);
       CHECK(client->is_ended);
     }
