--- a/tests/endings_random_test.cpp
+++ b/tests/endings_random_test.cpp
@@ -1,5 +1,5 @@
-// What is owed when ends come in random order (docs/endings.md), on real sockets: clients, endpoints and the
-// endpoint list do as chance says, and what came to each is counted from outside.
+// Clients, attempts and endpoints that end in random order (docs/endings.md), on real sockets. Clients,
+// endpoints and the endpoint list act at random, and the test itself counts the requests at each endpoint.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -10,7 +10,7 @@
 namespace host {
 namespace {
 
-// Draws below a bound; the order of draws follows from the seed alone.
+// Random numbers below a bound; the sequence depends on the seed alone.
 class RandomSource {
  public:
   explicit RandomSource(std::uint32_t seed) : engine_(seed) {}
@@ -22,18 +22,18 @@
   std::mt19937 engine_;
 };
 
-using RequestCounts = std::map<std::string, int>;  // complete requests at all endpoints, by the client's id
+using RequestCounts = std::map<std::string, int>;  // complete requests at all endpoints, by call id
 
-// An endpoint that does as chance says, and counts from outside what came to it.
+// An endpoint that answers at random and counts the requests that reach it.
 struct RandomEndpoint {
   RandomSource& random;
   RequestCounts& request_counts;
   FakeServer server;
   bool listed_ready = true;
-  std::size_t requests_when_withdrawn = 0;  // requests seen when the list said otherwise
+  std::size_t requests_when_withdrawn = 0;  // requests_seen at the last change of its list entry
   std::size_t requests_seen = 0;
-  std::vector<std::size_t> unanswered;                // connections with a request that waits
-  std::map<std::size_t, std::size_t> requests_noted;  // by connection
+  std::vector<std::size_t> unanswered;                // index of the connection, for each unanswered request
+  std::map<std::size_t, std::size_t> requests_noted;  // by connection index
 
   RandomEndpoint(EventLoop& loop, RandomSource& source, RequestCounts& counts)
       : random(source), request_counts(counts), server(loop, {}) {}
@@ -42,7 +42,7 @@
     return std::string(request.find_header("X-Call-Id").value_or("none"));
   }
 
-  // What came since is counted, and owed a response.
+  // Counts the requests received since the last call and queues them for a response.
   void note_requests() {
     std::size_t total = 0;
     for (std::size_t i = 0; i < server.connections.size(); ++i) {
@@ -71,7 +71,7 @@
         return connection.close();
       case 2:
         return connection.send(response_text(500, ""));
-      case 3:  // it did not run
+      case 3:  // rejected: the request did not run
         --request_counts[call_id_of(connection.received.back())];
         return connection.send(response_text(503, "", "X-Rejected: 1\r\n"));
       case 4:
@@ -87,19 +87,19 @@
 
 struct RandomClient {
   TestConnection* connection;
-  std::vector<std::string> call_ids;  // of what it asked, one at a time
-  bool gone = false;
+  std::vector<std::string> call_ids;  // of its requests, sent one at a time
+  bool has_left = false;
 };
 
-// What happened over all seeds: the orders have to meet what they are for.
+// Sums over all seeds, which show that the random orders reach the situations under test.
 struct Totals {
-  std::size_t answers = 0;
+  std::size_t responses = 0;
   std::size_t clients_left = 0;
   std::size_t withdrawn = 0;
-  std::size_t repeats = 0;
+  std::size_t retried_rpcs = 0;
 };
 
-// One random day of a sidecar with four endpoints.
+// A random sequence of events at a sidecar with four endpoints.
 class RandomOrder {
  public:
   explicit RandomOrder(std::uint32_t seed)
@@ -130,8 +130,8 @@
 
   void add_to(Totals& totals) {
     for (const RandomClient& client : clients_)
-      if (!client.gone) totals.answers += client.connection->received.size();
-    for (const auto& [call_id, count] : request_counts_) totals.repeats += count > 1;
+      if (!client.has_left) totals.responses += client.connection->received.size();
+    for (const auto& [call_id, count] : request_counts_) totals.retried_rpcs += count > 1;
     totals.clients_left += static_cast<std::size_t>(sidecar_.counters.rpcs_abandoned);
     totals.withdrawn += attempts_with_outcome(sidecar_, AttemptOutcome::withdrawn);
   }
@@ -173,8 +173,8 @@
     if (clients_.size() < 20 && random_.below(3) == 0) clients_.push_back({&sidecar_.connect_client(), {}});
     if (clients_.empty()) return;
     RandomClient& client = clients_[random_.below(clients_.size())];
-    // One at a time: the one before is answered.
-    if (client.gone || client.connection->is_ended ||
+    // A client sends its next request once the previous one is answered.
+    if (client.has_left || client.connection->is_ended ||
         client.call_ids.size() > client.connection->received.size())
       return;
     client.call_ids.push_back(next_call_id());
@@ -184,8 +184,8 @@
   void let_client_leave() {
     if (clients_.empty() || random_.below(3) != 0) return;
     RandomClient& client = clients_[random_.below(clients_.size())];
-    if (client.gone || client.connection->is_ended) return;
-    client.gone = true;
+    if (client.has_left || client.connection->is_ended) return;
+    client.has_left = true;
     if (random_.below(2)) client.connection->stream->reset_on_close();
     client.connection->close();
     run_rounds(sidecar_.loop, 8);
@@ -201,7 +201,7 @@
     if (change != 0) return;
     constexpr EndpointState states[] = {EndpointState::ready, EndpointState::draining, EndpointState::gone};
     const std::size_t i = random_.below(endpoints_.size());
-    // Two draws as arguments of one call would have no order.
+    // As arguments of one call, the two draws would have no defined order.
     const bool restarted = random_.below(3) == 0;
     const EndpointState state = endpoints_[i]->listed_ready ? states[random_.below(3)] : EndpointState::ready;
     update_endpoint(i, state, restarted);
@@ -209,7 +209,7 @@
 
   void update_endpoint(std::size_t i, EndpointState state, bool restarted) {
     RandomEndpoint& endpoint = *endpoints_[i];
-    run_rounds(sidecar_.loop, 6);  // what was written before is on its way
+    run_rounds(sidecar_.loop, 6);  // requests that are already written reach the endpoint
     endpoint.note_requests();
     endpoint.listed_ready = state == EndpointState::ready;
     endpoint.requests_when_withdrawn = endpoint.requests_seen;
@@ -222,7 +222,7 @@
     sidecar_.dispatcher.update_endpoints(false, true, {make_endpoint(name(i), started_at_ms, state)});
   }
 
-  // All endpoints begin to drain while an attempt connects: it is sent to none of them.
+  // All endpoints begin to drain while an attempt connects; the attempt is sent to none of them.
   void drain_endpoints_while_connecting() {
     run_rounds(sidecar_.loop, 8);
     check_withdrawn_endpoints();
@@ -263,7 +263,7 @@
       endpoint->note_requests();
       if (!endpoint->listed_ready)
         CHECK_MESSAGE(endpoint->requests_seen == endpoint->requests_when_withdrawn,
-                      "a request came after the news");
+                      "a request came after the list update");
     }
   }
 
@@ -284,9 +284,9 @@
   void check_drained() {
     CHECK(every_rpc_answered_once(sidecar_));
     for (const RandomClient& client : clients_) {
-      if (client.gone) continue;
+      if (client.has_left) continue;
       CHECK(client.connection->is_ended);
-      CHECK(client.connection->received.size() == client.call_ids.size());  // each had its one answer
+      CHECK(client.connection->received.size() == client.call_ids.size());  // one response to each request
     }
     if (safety_ == RetrySafety::non_idempotent)
       for (const auto& entry : request_counts_) CHECK_MESSAGE(entry.second <= 1, entry.first);
@@ -302,7 +302,7 @@
   RequestCounts request_counts_;
   std::vector<std::unique_ptr<RandomEndpoint>> endpoints_;
   std::vector<RandomClient> clients_;
-  RequestCounts counts_when_left_;  // of requests whose client left, by then
+  RequestCounts counts_when_left_;  // for requests whose client left: their count at that time
   int last_id_ = 0;
   double last_start_ms_ = 1;
 };
@@ -310,7 +310,8 @@
 }  // namespace
 
 TEST_CASE(
-    "whatever the order: one answer each, no effect twice, nothing sent to who is gone or for who has left") {
+    "with events in random order each request has one response and no unsafe one runs twice and none is sent "
+    "once its client or endpoint has left") {
   Totals totals;
   for (std::uint32_t seed = 1; seed <= 24; ++seed) {
     CAPTURE(seed);
@@ -318,10 +319,10 @@
     order.run();
     order.add_to(totals);
   }
-  CHECK(totals.answers > 100);
+  CHECK(totals.responses > 100);
   CHECK(totals.clients_left > 20);
   CHECK(totals.withdrawn > 5);
-  CHECK(totals.repeats > 5);
+  CHECK(totals.retried_rpcs > 5);
 }
 
 }  // namespace host
--- a/tests/pipe_test.cpp
+++ b/tests/pipe_test.cpp
@@ -1,4 +1,4 @@
-// Messages too long to be held: the reader that gives them out in pieces, and their way through the sidecar.
+// Messages that are too long to be buffered: the parser returns them in pieces, and the sidecar streams them.
 #include <doctest/doctest.h>
 #include <malloc.h>
 
@@ -10,7 +10,7 @@
 
 using State = http::HttpParser::ParseState;
 
-// What a reader gives out, fed like this, at once or a byte at a time.
+// What a parser has returned of one message so far.
 struct ParsedMessage {
   http::Message head;
   std::string body;
@@ -53,17 +53,17 @@
 const std::string split_body = "0123456789abcdefghijklmnop";
 
 struct SplitCase {
-  const char* what;
+  const char* description;
   http::HttpParser::MessageKind kind;
   std::string bytes;
-  bool ends, over;
-  std::optional<std::uint64_t> length;
+  bool stream_ends, is_complete;
+  std::optional<std::uint64_t> content_length;
 };
 
 const SplitCase split_cases[] = {
-    {"a length", request, post_line + "Content-Length: 26\r\n\r\n" + split_body + pipelined_request, false,
-     true, 26},
-    {"chunks",
+    {"a body of stated length", request,
+     post_line + "Content-Length: 26\r\n\r\n" + split_body + pipelined_request, false, true, 26},
+    {"a chunked body",
      request,
      post_line +
          "Transfer-Encoding: "
@@ -73,11 +73,11 @@
      false,
      true,
      {}},
-    {"an answer of stated length", response, ok_line + "Content-Length: 26\r\n\r\n" + split_body, false, true,
-     26},
-    {"an answer until the end", response, ok_line + "\r\n" + split_body, true, true, {}},
-    {"an answer cut", response, ok_line + "Content-Length: 27\r\n\r\n" + split_body, true, false, 27},
-    {"chunks cut",
+    {"a response of stated length", response, ok_line + "Content-Length: 26\r\n\r\n" + split_body, false,
+     true, 26},
+    {"a response until the end of the stream", response, ok_line + "\r\n" + split_body, true, true, {}},
+    {"a truncated response", response, ok_line + "Content-Length: 27\r\n\r\n" + split_body, true, false, 27},
+    {"a truncated chunked response",
      response,
      ok_line + "Transfer-Encoding: chunked\r\n\r\n1a\r\n" + split_body + "\r\n",
      true,
@@ -93,9 +93,9 @@
 
 }  // namespace
 
-TEST_CASE("long bodies come out the same however their bytes are split") {
+TEST_CASE("long bodies are parsed the same however their bytes are split") {
   for (const SplitCase& split_case : split_cases) {
-    CAPTURE(std::string(split_case.what));
+    CAPTURE(std::string(split_case.description));
     for (std::size_t cut = 0; cut <= split_case.bytes.size() + 1; ++cut) {
       CAPTURE(cut);
       http::HttpParser parser(split_case.kind, 10);
@@ -107,16 +107,16 @@
         feed_parser(parser, std::string_view(split_case.bytes).substr(0, cut), message);
         feed_parser(parser, std::string_view(split_case.bytes).substr(cut), message);
       }
-      if (split_case.ends) parser.on_end_of_stream();
+      if (split_case.stream_ends) parser.on_end_of_stream();
       take_parsed(parser, message);
       REQUIRE(message.has_head);
-      CHECK(message.complete == split_case.over);
-      CHECK(message.broken == !split_case.over);
-      CHECK(message.head.content_length == split_case.length);
+      CHECK(message.complete == split_case.is_complete);
+      CHECK(message.broken == !split_case.is_complete);
+      CHECK(message.head.content_length == split_case.content_length);
       CHECK(split_body.starts_with(message.body));
-      CHECK((message.body == split_body || !split_case.over));
+      CHECK((message.body == split_body || !split_case.is_complete));
       if (split_case.kind == request) {
-        REQUIRE(parser.state() == State::complete);  // what was pipelined behind
+        REQUIRE(parser.state() == State::complete);  // the pipelined request after it
         const http::Message m = parser.take_message();
         CHECK(m.slice(m.target) == "/b");
       }
@@ -131,7 +131,7 @@
 
 namespace {
 
-// One end of a connection as plain bytes; it reads only while it is told to.
+// One end of a connection that carries raw bytes; it reads only while `reading` is true.
 struct RawConnection {
   EventLoop& event_loop;
   std::unique_ptr<TcpStream> socket;
@@ -139,18 +139,19 @@
   WriteBuffer output;
   bool reading = true, ended = false;
 
-  RawConnection(EventLoop& in, FileDescriptorBudget& count, FileDescriptor fd) : event_loop(in) {
-    socket = std::make_unique<TcpStream>(in, count, std::move(fd), [this](std::uint32_t) { transfer(); });
+  RawConnection(EventLoop& loop, FileDescriptorBudget& fd_budget, FileDescriptor fd) : event_loop(loop) {
+    socket =
+        std::make_unique<TcpStream>(loop, fd_budget, std::move(fd), [this](std::uint32_t) { transfer(); });
   }
   void transfer() {
     socket->write(output);
-    std::array<char, 16384> some;
-    std::size_t n = 0;
+    std::array<char, 16384> buffer;
+    std::size_t count = 0;
     while (reading && !ended) {
-      const auto got = socket->read(some, n);
-      if (got == TcpStream::ReadStatus::would_block) return;
-      if (got != TcpStream::ReadStatus::data) ended = true;
-      if (got == TcpStream::ReadStatus::data) received.append(some.data(), n);
+      const auto status = socket->read(buffer, count);
+      if (status == TcpStream::ReadStatus::would_block) return;
+      if (status != TcpStream::ReadStatus::data) ended = true;
+      if (status == TcpStream::ReadStatus::data) received.append(buffer.data(), count);
     }
   }
   void send(std::string bytes) {
@@ -174,9 +175,9 @@
   std::vector<std::unique_ptr<RawConnection>> upstream_connections;
   EventLoop::Watch listener_watch;
 
-  explicit LongMessageFixture(RetrySafety repeats = RetrySafety::non_idempotent)
+  explicit LongMessageFixture(RetrySafety retry_safety = RetrySafety::non_idempotent)
       : upstream_pool(event_loop, budget, counts, test_logger, {5000, 60}, [] { return false; }),
-        dispatcher(event_loop, upstream_pool, counts, test_logger, test_config(repeats), 1),
+        dispatcher(event_loop, upstream_pool, counts, test_logger, test_config(retry_safety), 1),
         http_server(event_loop, budget, counts, test_logger, dispatcher, {80, 40, 64 << 20},
                     [] { return false; }) {
     listener_watch = event_loop.watch_fd(upstream_listener.get(), [this](std::uint32_t) {
@@ -187,17 +188,17 @@
             std::make_unique<RawConnection>(event_loop, peer_budget, std::move(fd)));
       }
     });
-    FileDescriptor front_door = listen_on_loopback();
-    client_address = local_address(front_door);
-    http_server.use_listener(std::move(front_door));
+    FileDescriptor client_listener = listen_on_loopback();
+    client_address = local_address(client_listener);
+    http_server.use_listener(std::move(client_listener));
     upstream_pool.update_endpoint("a", address_text(upstream_address));
     dispatcher.update_endpoints(true, false, {make_endpoint("a")});
   }
   std::unique_ptr<RawConnection> connect_client() {
     return std::make_unique<RawConnection>(event_loop, peer_budget, start_connect(client_address));
   }
-  std::size_t attempts_ended(AttemptOutcome how) const {
-    return counts.attempts[static_cast<std::size_t>(how)];
+  std::size_t attempts_ended(AttemptOutcome outcome) const {
+    return counts.attempts[static_cast<std::size_t>(outcome)];
   }
 };
 
@@ -226,16 +227,16 @@
 
 }  // namespace
 
-TEST_CASE("a long request reaches the endpoint as it was sent, and its answer the client") {
+TEST_CASE("a long request reaches the endpoint unchanged and its response reaches the client") {
   for (const bool chunked : {false, true}) {
     LongMessageFixture proxy;
     const auto client = proxy.connect_client();
     const std::string body = patterned_bytes(long_body_size);
     if (chunked) {
-      std::string all = request_head("POST", "Transfer-Encoding: chunked\r\n");
+      std::string input = request_head("POST", "Transfer-Encoding: chunked\r\n");
       for (std::size_t at = 0; at < long_body_size; at += 50000)
-        all += encode_body_chunk(std::string_view(body).substr(at, 50000), true, false);
-      client->send(all + encode_body_chunk("", true, true));
+        input += encode_body_chunk(std::string_view(body).substr(at, 50000), true, false);
+      client->send(input + encode_body_chunk("", true, true));
     } else {
       client->send(request_head("POST", "Content-Length: " + std::to_string(long_body_size) + "\r\n") + body);
     }
@@ -255,17 +256,17 @@
     REQUIRE(run_until(proxy.event_loop, [&] { return client->received.find("done") != std::string::npos; }));
     CHECK(proxy.counts.streamed_requests == 1);
     CHECK(proxy.counts.rpcs_ok == 1);
-    client->send(request_head("GET", ""));  // the connection goes on
+    client->send(request_head("GET", ""));  // the connection can be used again
     REQUIRE(
         run_until(proxy.event_loop, [&] { return proxy.upstream_connections[0]->received.size() > fed; }));
   }
 }
 
-TEST_CASE("a slow upload is not the server's slowness") {
+TEST_CASE("the duration of a slow upload is not counted as the endpoint's response time") {
   LongMessageFixture proxy;
   const auto client = proxy.connect_client();
   client->send(request_head("POST", "Content-Length: 200001\r\n") + patterned_bytes(200000));
-  run_for(proxy.event_loop, 200);  // the latency target is half of that
+  run_for(proxy.event_loop, 200);  // the latency objective is half of that
   client->send("!");
   REQUIRE(run_until(proxy.event_loop, [&] {
     return !proxy.upstream_connections.empty() && proxy.upstream_connections[0]->received.ends_with("!");
@@ -273,12 +274,12 @@
   proxy.upstream_connections[0]->send(response_text(200, "done"));
   REQUIRE(run_until(proxy.event_loop, [&] { return proxy.counts.rpcs_ok == 1; }));
   const std::string log = proxy.log_text.str();
-  const std::string said = ": ok after ";
-  REQUIRE(log.find(said) != std::string::npos);
-  CHECK(std::stod(log.substr(log.find(said) + said.size())) < 100);
+  const std::string duration_prefix = ": ok after ";
+  REQUIRE(log.find(duration_prefix) != std::string::npos);
+  CHECK(std::stod(log.substr(log.find(duration_prefix) + duration_prefix.size())) < 100);
 }
 
-TEST_CASE("a long answer comes through by every framing, to old clients and new") {
+TEST_CASE("a long response is forwarded in either framing to HTTP/1.0 and HTTP/1.1 clients") {
   const std::string body = patterned_bytes(long_body_size);
   for (const bool chunked : {false, true})
     for (const char* version : {"1.0", "1.1"}) {
@@ -304,30 +305,31 @@
 }
 
 TEST_CASE(
-    "the first part of a long answer goes on at once, and little is held for a client that reads slowly") {
+    "the first part of a long response is forwarded at once and little is buffered for a client that reads "
+    "slowly") {
   LongMessageFixture proxy;
   const auto client = proxy.connect_client();
   client->send(request_head("GET", ""));
   REQUIRE(run_until(proxy.event_loop, [&] {
     return !proxy.upstream_connections.empty() && !proxy.upstream_connections[0]->received.empty();
   }));
-  constexpr std::size_t all = 24 << 20;
-  proxy.upstream_connections[0]->send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(all) +
+  constexpr std::size_t body_bytes = 24 << 20;
+  proxy.upstream_connections[0]->send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body_bytes) +
                                       "\r\n\r\nfirst");
   REQUIRE(run_until(proxy.event_loop, [&] { return client->received.find("first") != std::string::npos; }));
   client->reading = false;
-  proxy.upstream_connections[0]->send(std::string(all - 5, 'x'));
-  const std::size_t before = ::mallinfo2().uordblks;
+  proxy.upstream_connections[0]->send(std::string(body_bytes - 5, 'x'));
+  const std::size_t allocated_before = ::mallinfo2().uordblks;
   run_for(proxy.event_loop, 200);
-  CHECK(::mallinfo2().uordblks < before + (1 << 20));
+  CHECK(::mallinfo2().uordblks < allocated_before + (1 << 20));
   client->reading = true;
-  client->received.reserve(all + 1000);
+  client->received.reserve(body_bytes + 1000);
   client->transfer();
-  REQUIRE(run_until(proxy.event_loop, [&] { return client->received.size() > all; }));
+  REQUIRE(run_until(proxy.event_loop, [&] { return client->received.size() > body_bytes; }));
   CHECK(proxy.counts.truncated_responses == 0);
 }
 
-TEST_CASE("what breaks off is cut so that the client can tell, and is not tried again") {
+TEST_CASE("a long response that breaks off is visibly truncated for the client and not retried") {
   for (const bool chunked : {false, true}) {
     LongMessageFixture proxy(RetrySafety::idempotent);
     const auto client = proxy.connect_client();
@@ -350,29 +352,29 @@
   }
 }
 
-TEST_CASE("a long request: what it may be told when it goes wrong") {
+TEST_CASE("the response to a long request that fails depends on whether the request may have run") {
   struct {
-    const char* what;
-    std::string answer;  // before the request is whole; "close": hangs up
+    const char* description;
+    std::string endpoint_response;  // before the request is complete; "close" closes the connection
     int status;
   } table[] = {
-      {"never whole there: it can't have run", "close", 503},
-      {"turned away: never ran", response_text(503, "", "X-Rejected: 1\r\n"), 503},
-      {"an error may have run", response_text(500, ""), 502},
-      {"served early", response_text(200, "fine"), 200},
+      {"the endpoint never has the complete request: it can't have run", "close", 503},
+      {"rejected: it never ran", response_text(503, "", "X-Rejected: 1\r\n"), 503},
+      {"an error: it may have run", response_text(500, ""), 502},
+      {"answered early", response_text(200, "fine"), 200},
   };
   for (const auto& row : table) {
-    CAPTURE(std::string(row.what));
+    CAPTURE(std::string(row.description));
     LongMessageFixture proxy;
     const auto client = proxy.connect_client();
     client->send(request_head("POST", "Content-Length: 3000000\r\n") + patterned_bytes(200000));
     REQUIRE(run_until(proxy.event_loop, [&] {
       return !proxy.upstream_connections.empty() && proxy.upstream_connections[0]->received.size() > 150000;
     }));
-    if (row.answer == "close")
+    if (row.endpoint_response == "close")
       proxy.upstream_connections[0]->socket.reset();
     else
-      proxy.upstream_connections[0]->send(row.answer);
+      proxy.upstream_connections[0]->send(row.endpoint_response);
     REQUIRE(run_until(proxy.event_loop, [&] { return client->ended; }));
     CHECK(client->received.substr(0, 12) == "HTTP/1.1 " + std::to_string(row.status));
     CHECK(proxy.upstream_connections.size() == 1);
@@ -380,8 +382,8 @@
   }
 }
 
-TEST_CASE("a client that leaves, or sends what is no body, ends its long request everywhere") {
-  for (const bool leaves : {true, false}) {
+TEST_CASE("a client that disconnects or sends a malformed body ends its long request at the endpoint too") {
+  for (const bool disconnects : {true, false}) {
     LongMessageFixture proxy;
     const auto client = proxy.connect_client();
     client->send(request_head("POST", "Transfer-Encoding: chunked\r\n") +
@@ -389,19 +391,19 @@
     REQUIRE(run_until(proxy.event_loop, [&] {
       return !proxy.upstream_connections.empty() && proxy.upstream_connections[0]->received.size() > 150000;
     }));
-    if (leaves)
+    if (disconnects)
       client->socket.reset();
     else
       client->send("what\r\n");
     REQUIRE(run_until(proxy.event_loop, [&] { return proxy.upstream_connections[0]->ended; }));
     CHECK(proxy.dispatcher.in_flight() == 0);
     CHECK(proxy.counts.rpcs_abandoned == 1);
-    if (!leaves)
+    if (!disconnects)
       CHECK(run_until(proxy.event_loop, [&] { return client->received.find(" 400 ") != std::string::npos; }));
   }
 }
 
-TEST_CASE("HEAD, Expect, OPTIONS of all, pipelined requests") {
+TEST_CASE("HEAD and Expect and server-wide OPTIONS and pipelined requests work on one client connection") {
   LongMessageFixture proxy;
   const auto client = proxy.connect_client();
   client->send(request_head("HEAD", ""));
