--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,5 +1,5 @@
-// One sidecar as a process of its own: words from outside while something is owed. Judged by counts and by
-// its status.
+// Tests of one sidecar as a separate process: signals and outages while requests are in flight. The checks
+// use counts of requests and the exit status.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -26,10 +26,11 @@
   int deadline_ms;
   int connect_timeout_ms;
   int drain_grace_ms;
-  bool allows_all;  // cancelling, probes, rejections with Retry-After, retries
+  bool allows_all;  // cancellation, probes, rejections with Retry-After, retries
 };
-constexpr SettingsVariant settings_variants[] = {{"short times, nothing allowed", 120, 150, 1200, 300, false},
-                                                 {"long times, all allowed", 1500, 3000, 250, 1000, true}};
+constexpr SettingsVariant settings_variants[] = {
+    {"short times, no optional features", 120, 150, 1200, 300, false},
+    {"long times, all optional features", 1500, 3000, 250, 1000, true}};
 
 class SidecarProcess {
  public:
@@ -37,7 +38,7 @@
   std::string config_path =
       "sidecar-" + std::to_string(::getpid()) + "-" + std::to_string(++instance_count) + ".json";
   std::string log_path = config_path + ".log";
-  rlim_t descriptor_limit = 0;  // as the kernel has it; 0: as here
+  rlim_t descriptor_limit = 0;  // RLIMIT_NOFILE of the process; 0 for that of the test
 
   explicit SidecarProcess(const sockaddr_in& agent, const SettingsVariant& sidecar,
                           const std::string& known = "") {
@@ -66,8 +67,8 @@
     if (pid_ != 0) return;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (descriptor_limit > 0) {
-      const rlimit most{descriptor_limit, descriptor_limit};
-      ::setrlimit(RLIMIT_NOFILE, &most);
+      const rlimit limit{descriptor_limit, descriptor_limit};
+      ::setrlimit(RLIMIT_NOFILE, &limit);
     }
     ::setenv("LB_CONFIG", config_path.c_str(), 1);
     if (!std::freopen(log_path.c_str(), "w", stderr)) ::_exit(126);
@@ -81,19 +82,19 @@
     }
     pid_ = 0;
   }
-  void send_signal(int word) { ::kill(pid_, word); }
+  void send_signal(int signal_number) { ::kill(pid_, signal_number); }
   bool has_exited() {
     if (pid_ > 0 && ::waitpid(pid_, &wait_status_, WNOHANG) == pid_) pid_ = 0;
     return pid_ == 0;
   }
   bool exited_cleanly() const { return WIFEXITED(wait_status_) && WEXITSTATUS(wait_status_) == 0; }
   bool ready(EventLoop& loop) {
-    for (const double end = loop.now() + 20000; loop.now() < end && !has_exited();) {
-      FileDescriptorBudget one{1};
-      TestConnection asks(loop, one, start_connect(address), response);
-      asks.send("GET /-/ready HTTP/1.1\r\n\r\n");
-      for (int i = 0; i < 20 && asks.received.empty() && !asks.is_ended; ++i) loop.run_once(5);
-      if (!asks.received.empty() && asks.received[0].status == 200) return true;
+    for (const double end_ms = loop.now() + 20000; loop.now() < end_ms && !has_exited();) {
+      FileDescriptorBudget budget{1};
+      TestConnection client(loop, budget, start_connect(address), response);
+      client.send("GET /-/ready HTTP/1.1\r\n\r\n");
+      for (int i = 0; i < 20 && client.received.empty() && !client.is_ended; ++i) loop.run_once(5);
+      if (!client.received.empty() && client.received[0].status == 200) return true;
       run_for(loop, 5);
     }
     return false;
@@ -107,32 +108,32 @@
   int wait_status_ = -1;
 };
 
-// The list from before the start: one endpoint.
+// The config's list that is known before the start, with one endpoint.
 std::string known_endpoint_json(const sockaddr_in& endpoint) {
   return R"("known":{"generation":1,"reset":true,"instances":[{"instanceId":"a","hostPort":")" +
          address_text(endpoint) + R"(","lifecycle":"up"}]},)";
 }
 
-bool wait_for(EventLoop& loop, double longest, const std::function<bool()>& so) {
-  for (const double end = loop.now() + longest; !so();) {
-    if (loop.now() > end) return false;
+bool wait_for(EventLoop& loop, double max_ms, const std::function<bool()>& condition) {
+  for (const double end_ms = loop.now() + max_ms; !condition();) {
+    if (loop.now() > end_ms) return false;
     loop.run_once(2);
   }
   return true;
 }
 
-std::string payment_request(int id, int budget) {
+std::string payment_request(int id, int budget_ms) {
   return "POST /pay-9 HTTP/1.1\r\nX-Call-Id: pay" + std::to_string(id) +
-         "\r\nX-Call-Class: pay-9\r\nX-Budget: " + std::to_string(budget) +
+         "\r\nX-Call-Class: pay-9\r\nX-Budget: " + std::to_string(budget_ms) +
          "m\r\nContent-Length: 4\r\n\r\nbody";
 }
 
-// Clients that send one request after the other, also after the word to stop, on all that stays open; a
-// request that crosses a closing is sent once more over a new connection.
+// Clients that send one request after the other on all connections that are open, also after SIGTERM. A
+// request that crosses the close of its connection is sent once more over a new one.
 struct ClientCrowd {
   struct Client {
     std::unique_ptr<TestConnection> connection;
-    int request_id = 0;  // the id that is out
+    int request_id = 0;  // of the request in flight; 0 without one
     bool resent = false;
   };
   EventLoop& event_loop;
@@ -145,10 +146,11 @@
   int succeeded = 0;
   int refused = 0;
   int lost = 0;
-  bool may_reconnect = true;  // new connections still go on coming
+  bool may_reconnect = true;  // clients may still open new connections
 
-  ClientCrowd(EventLoop& in, const sockaddr_in& at, int within, std::size_t n)
-      : event_loop(in), address(at), budget_ms(within), clients(n) {
+  ClientCrowd(EventLoop& loop, const sockaddr_in& server_address, int request_budget_ms,
+              std::size_t client_count)
+      : event_loop(loop), address(server_address), budget_ms(request_budget_ms), clients(client_count) {
     for (Client& client : clients) connect(client);
   }
   void connect(Client& client) {
@@ -175,7 +177,7 @@
     client.resent = false;
     if (!keep_alive) client.connection->is_ended = true;
   }
-  // False if the client has no connection any more.
+  // Returns false if the client is left without a connection.
   bool reconnect(Client& client) {
     client.connection.reset();
     if (client.request_id && (client.resent || !may_reconnect)) {
@@ -199,25 +201,28 @@
 
 }  // namespace
 
-TEST_CASE("processes: SIGTERM while the config is still read ends it with status 0, SIGHUP doesn't end it") {
-  for (const int word : {SIGTERM, SIGHUP}) {
+TEST_CASE(
+    "processes: SIGTERM while the config is being read ends the process with status 0 and SIGHUP does not "
+    "end it") {
+  for (const int signal_number : {SIGTERM, SIGHUP}) {
     EventLoop loop;
     FakeServer agent(loop, {});
     SidecarProcess sidecar(agent.address, settings_variants[0]);
     REQUIRE(::mkfifo(sidecar.config_path.c_str(), 0600) == 0);
     sidecar.start(false);
-    // It can be opened for writing once the process has it open for reading, and reads until that is closed.
-    FileDescriptor to;
+    // The FIFO can be opened for writing once the process has it open for reading. The process reads until
+    // the writer closes it.
+    FileDescriptor fifo;
     REQUIRE(wait_for(loop, 20000, [&] {
-      to = FileDescriptor(::open(sidecar.config_path.c_str(), O_WRONLY | O_NONBLOCK));
-      return static_cast<bool>(to);
+      fifo = FileDescriptor(::open(sidecar.config_path.c_str(), O_WRONLY | O_NONBLOCK));
+      return static_cast<bool>(fifo);
     }));
-    sidecar.send_signal(word);
+    sidecar.send_signal(signal_number);
     run_for(loop, 30);
-    REQUIRE(::write(to.get(), sidecar.config_text.data(), sidecar.config_text.size()) ==
+    REQUIRE(::write(fifo.get(), sidecar.config_text.data(), sidecar.config_text.size()) ==
             static_cast<ssize_t>(sidecar.config_text.size()));
-    to = {};
-    if (word == SIGHUP) {
+    fifo = {};
+    if (signal_number == SIGHUP) {
       std::remove(sidecar.config_path.c_str());
       std::ofstream(sidecar.config_path) << sidecar.config_text;
       CHECK(sidecar.ready(loop));
@@ -228,8 +233,7 @@
   }
 }
 
-TEST_CASE(
-    "processes: told to stop under load, every request that was taken has its one answer, none runs twice") {
+TEST_CASE("processes: after SIGTERM under load every accepted request has one response and none runs twice") {
   for (const SettingsVariant& settings : settings_variants) {
     CAPTURE(std::string(settings.description));
     EventLoop loop;
@@ -240,46 +244,46 @@
     sidecar.start();
     REQUIRE(sidecar.ready(loop));
     ClientCrowd clients(loop, sidecar.address, settings.deadline_ms, 24);
-    const auto play = [&](double ms, bool sends) {
-      for (const double end = loop.now() + ms; loop.now() < end;) {
+    const auto run_clients = [&](double duration_ms, bool sends) {
+      for (const double end_ms = loop.now() + duration_ms; loop.now() < end_ms;) {
         loop.run_once(1);
         clients.step(sends);
       }
     };
-    play(300, true);
+    run_clients(300, true);
     CHECK(clients.succeeded > 100);
-    const double told = loop.now();
+    const double signalled_at_ms = loop.now();
     sidecar.send_signal(SIGTERM);
-    play(40, true);
+    run_clients(40, true);
     sidecar.send_signal(SIGHUP);
     sidecar.send_signal(SIGTERM);
-    play(300, true);
+    run_clients(300, true);
     clients.may_reconnect = false;
-    double gone = 0;
-    for (const double end = told + 20000; gone == 0 && loop.now() < end;) {
+    double exited_at_ms = 0;
+    for (const double end_ms = signalled_at_ms + 20000; exited_at_ms == 0 && loop.now() < end_ms;) {
       loop.run_once(1);
-      clients.step(true);  // on what is still open
-      if (sidecar.has_exited()) gone = loop.now();
+      clients.step(true);  // on the connections that are still open
+      if (sidecar.has_exited()) exited_at_ms = loop.now();
     }
-    CHECK(gone > 0);
+    CHECK(exited_at_ms > 0);
     CHECK(sidecar.exited_cleanly());
-    CHECK(gone - told < std::min(settings.deadline_ms, 3000) + 700);
-    play(20, false);
+    CHECK(exited_at_ms - signalled_at_ms < std::min(settings.deadline_ms, 3000) + 700);
+    run_clients(20, false);
     CHECK(clients.lost == 0);
     CHECK(clients.none_waiting());
     CHECK(clients.answered == clients.last_id);
-    std::map<std::string, int> runs_of;
-    for (const auto& side : endpoint.connections)
-      for (const http::Message& m : side->received)
-        ++runs_of[std::string(m.find_header("X-Call-Id").value_or("none"))];
-    CHECK(std::all_of(runs_of.begin(), runs_of.end(), [](const auto& r) { return r.second == 1; }));
-    CHECK(static_cast<int>(runs_of.size()) >= clients.succeeded);
+    std::map<std::string, int> run_counts;
+    for (const auto& connection : endpoint.connections)
+      for (const http::Message& message : connection->received)
+        ++run_counts[std::string(message.find_header("X-Call-Id").value_or("none"))];
+    CHECK(std::all_of(run_counts.begin(), run_counts.end(),
+                      [](const auto& entry) { return entry.second == 1; }));
+    CHECK(static_cast<int>(run_counts.size()) >= clients.succeeded);
   }
 }
 
 TEST_CASE(
-    "processes: told to stop with endpoints that hang and clients that say nothing more, it is gone in "
-    "time") {
+    "processes: after SIGTERM the process ends in time although endpoints hang and clients stay silent") {
   for (const SettingsVariant& settings : settings_variants) {
     CAPTURE(std::string(settings.description));
     EventLoop loop;
@@ -288,32 +292,33 @@
     SidecarProcess sidecar(agent.address, settings, known_endpoint_json(endpoint.address));
     sidecar.start();
     REQUIRE(sidecar.ready(loop));
-    FileDescriptorBudget room{100};
+    FileDescriptorBudget budget{100};
     std::vector<std::unique_ptr<TestConnection>> clients;
     clients.reserve(8);
     for (int i = 0; i < 8; ++i)
       clients.push_back(
-          std::make_unique<TestConnection>(loop, room, start_connect(sidecar.address), response));
+          std::make_unique<TestConnection>(loop, budget, start_connect(sidecar.address), response));
     for (int i = 0; i < 4; ++i) clients[i]->send(payment_request(i + 1, settings.deadline_ms));
     clients[4]->send(payment_request(5, settings.deadline_ms).substr(0, 40));
     REQUIRE(wait_for(loop, 2000, [&] { return endpoint.request_targets.size() == 4; }));
-    const double told = loop.now();
+    const double signalled_at_ms = loop.now();
     sidecar.send_signal(SIGTERM);
     REQUIRE(wait_for(loop, 20000, [&] { return sidecar.has_exited(); }));
-    CHECK(loop.now() - told < std::min(settings.deadline_ms, 3000) + 700);
+    CHECK(loop.now() - signalled_at_ms < std::min(settings.deadline_ms, 3000) + 700);
     CHECK(sidecar.exited_cleanly());
     run_for(loop, 10);
     for (int i = 0; i < 4; ++i) {
       REQUIRE(clients[i]->received.size() == 1);
-      CHECK(clients[i]->received[0].status == 502);  // it may have run: no word that a retry is harmless
+      // It may have run, so the response does not call a retry harmless.
+      CHECK(clients[i]->received[0].status == 502);
     }
     for (const auto& client : clients) CHECK(client->is_ended);
   }
 }
 
-TEST_CASE("processes: a config that is faulty ends it with one line and a status that is not 0") {
+TEST_CASE("processes: an invalid config ends the process with one log line and a nonzero status") {
   struct {
-    const char *from, *to, *said;
+    const char *valid_text, *invalid_text, *expected_error;
   } table[] = {
       {R"("deadline":150000)", R"("deadline":0)", "config.settings.methods.deadline is not above 0"},
       {R"("latencyTarget":120000)", R"("latencyTarget":-5)",
@@ -331,13 +336,13 @@
        "config.settings.bounds.cancelling is not true or false"},
   };
   for (const auto& row : table) {
-    CAPTURE(std::string(row.to));
+    CAPTURE(std::string(row.invalid_text));
     EventLoop loop;
     FakeServer agent(loop, {});
     SidecarProcess sidecar(agent.address, settings_variants[0]);
-    const std::size_t at = sidecar.config_text.find(row.from);
+    const std::size_t at = sidecar.config_text.find(row.valid_text);
     REQUIRE(at != std::string::npos);
-    sidecar.config_text.replace(at, std::string(row.from).size(), row.to);
+    sidecar.config_text.replace(at, std::string(row.valid_text).size(), row.invalid_text);
     sidecar.start();
     REQUIRE(wait_for(loop, 20000, [&] { return sidecar.has_exited(); }));
     CHECK_FALSE(sidecar.exited_cleanly());
@@ -345,26 +350,26 @@
     std::vector<std::string> lines;
     for (std::string line; std::getline(in, line);) lines.push_back(line);
     REQUIRE(lines.size() == 1);
-    CHECK(lines[0].find(row.said) != std::string::npos);
+    CHECK(lines[0].find(row.expected_error) != std::string::npos);
   }
 }
 
 TEST_CASE(
-    "processes: stopped while a client leaves and its pick's connect comes up, it sends nothing on "
-    "afterwards") {
-  for (const bool leaves : {false, true}) {
+    "processes: if a client leaves and its attempt connects while the process is suspended the request is "
+    "not sent") {
+  for (const bool disconnects : {false, true}) {
     EventLoop loop;
     FakeServer agent(loop, {});
-    StalledListener late;
-    const SettingsVariant patient{"a connect may take its second", 8000, 8000, 3000, 1000, false};
-    SidecarProcess sidecar(agent.address, patient, known_endpoint_json(late.address));
+    StalledListener stalled;
+    const SettingsVariant long_times{"connects may take over a second", 8000, 8000, 3000, 1000, false};
+    SidecarProcess sidecar(agent.address, long_times, known_endpoint_json(stalled.address));
     sidecar.start();
     REQUIRE(sidecar.ready(loop));
-    FileDescriptorBudget room{10};
-    TestConnection client(loop, room, start_connect(sidecar.address), response);
-    TestConnection second(loop, room, start_connect(sidecar.address), response);
+    FileDescriptorBudget budget{10};
+    TestConnection client(loop, budget, start_connect(sidecar.address), response);
+    TestConnection second(loop, budget, start_connect(sidecar.address), response);
     client.send(payment_request(1, 8000));
-    // Its pick connects by the time that another client has an answer to what came behind it.
+    // Its attempt is connecting once another client has a response to a request that came after it.
     REQUIRE(wait_for(loop, 2000, [&] { return client.stream->unacknowledged_bytes() == 0; }));
     for (int i = 0; i < 3; ++i) {
       second.send("GET /-/ready HTTP/1.1\r\n\r\n");
@@ -372,131 +377,134 @@
           wait_for(loop, 2000, [&] { return second.received.size() == static_cast<std::size_t>(i + 1); }));
     }
     sidecar.send_signal(SIGSTOP);
-    late.release();
-    for (const double end = loop.now() + 1500; loop.now() < end; late.receive()) loop.run_once(5);
-    CHECK_FALSE(late.accepted.empty());  // it came up
-    CHECK(late.request_count() == 0);
-    if (leaves) client.close();  // behind the connect, so that it comes second in the order of events
+    stalled.release();
+    for (const double end_ms = loop.now() + 1500; loop.now() < end_ms; stalled.receive()) loop.run_once(5);
+    CHECK_FALSE(stalled.accepted.empty());  // the connect succeeded
+    CHECK(stalled.request_count() == 0);
+    if (disconnects) client.close();  // after the connect, so that it is second in the order of events
     run_for(loop, 20);
     sidecar.send_signal(SIGCONT);
-    for (const double end = loop.now() + 300; loop.now() < end; late.receive()) loop.run_once(5);
-    CHECK(late.request_count() == (leaves ? 0 : 1));
+    for (const double end_ms = loop.now() + 300; loop.now() < end_ms; stalled.receive()) loop.run_once(5);
+    CHECK(stalled.request_count() == (disconnects ? 0 : 1));
   }
 }
 
 TEST_CASE(
-    "processes: thirty restarted together, nine in ten are ready within 10 s, whatever discovery does") {
+    "processes: of thirty restarted together nine in ten are ready within 10 s in any state of discovery") {
   struct {
-    const char* what;
-    double slow;  // ms, until discovery answers; below 0 it is down
-    bool asked;   // the list is asked for, not pushed
+    const char* description;
+    double response_delay_ms;  // of discovery; below 0 discovery is down
+    bool load_balancer_polls;  // the load balancer decides on polls of the list
   } table[] = {{"discovery is up", 0, false},
                {"discovery answers after 1 s", 1000, false},
-               {"discovery answers after 1 s, and is asked", 1000, true},
+               {"discovery answers after 1 s, polled by the load balancer", 1000, true},
                {"discovery is down", -1, false},
-               {"discovery is down, and is asked", -1, true}};
-  constexpr std::size_t n = 30;
+               {"discovery is down, polled by the load balancer", -1, true}};
+  constexpr std::size_t process_count = 30;
   for (const auto& row : table) {
-    CAPTURE(std::string(row.what));
+    CAPTURE(std::string(row.description));
     EventLoop loop;
     FakeServer endpoint(loop, {});
     FakeServer agent(loop,
                      std::vector<std::string>(100000, response_text(200, R"({"generation":1,"reset":true,)"
                                                                          R"("instances":[]})")),
-                     row.slow < 0 ? bind_on_loopback() : listen_on_loopback());
+                     row.response_delay_ms < 0 ? bind_on_loopback() : listen_on_loopback());
     agent.budget.limit = 100000;
-    agent.response_delay_ms = std::max(row.slow, 0.0);
-    std::vector<std::unique_ptr<SidecarProcess>> all;
-    for (std::size_t i = 0; i < n; ++i) {
-      all.push_back(std::make_unique<SidecarProcess>(agent.address, settings_variants[1],
-                                                     known_endpoint_json(endpoint.address)));
-      std::string& text = all.back()->config_text;
-      if (row.asked)
+    agent.response_delay_ms = std::max(row.response_delay_ms, 0.0);
+    std::vector<std::unique_ptr<SidecarProcess>> processes;
+    for (std::size_t i = 0; i < process_count; ++i) {
+      processes.push_back(std::make_unique<SidecarProcess>(agent.address, settings_variants[1],
+                                                           known_endpoint_json(endpoint.address)));
+      std::string& text = processes.back()->config_text;
+      if (row.load_balancer_polls)
         text.replace(text.find(R"("settings":{)"), 12, R"("settings":{"discovery":"subscribe",)");
     }
-    // How many are ready after so long; all are asked side by side.
-    const auto ready_within = [&](double longest) {
-      FileDescriptorBudget room{2 * n};
-      std::vector<std::unique_ptr<TestConnection>> asks(n);
-      std::vector<double> since(n, 0);
-      std::vector<bool> ready(n, false);
-      for (const double end = loop.now() + longest;
-           loop.now() < end && std::count(ready.begin(), ready.end(), true) < 30;) {
-        for (std::size_t i = 0; i < n; ++i) {
+    // Returns how many are ready within `max_ms`; all are polled side by side.
+    const auto ready_within = [&](double max_ms) {
+      FileDescriptorBudget budget{2 * process_count};
+      std::vector<std::unique_ptr<TestConnection>> connections(process_count);
+      std::vector<double> connected_at_ms(process_count, 0);
+      std::vector<bool> ready(process_count, false);
+      for (const double end_ms = loop.now() + max_ms;
+           loop.now() < end_ms && std::count(ready.begin(), ready.end(), true) < 30;) {
+        for (std::size_t i = 0; i < process_count; ++i) {
           if (ready[i]) continue;
-          if (asks[i] && !asks[i]->received.empty() && asks[i]->received[0].status == 200) {
+          if (connections[i] && !connections[i]->received.empty() &&
+              connections[i]->received[0].status == 200) {
             ready[i] = true;
-            asks[i].reset();
-          } else if (!asks[i] || asks[i]->is_ended || loop.now() > since[i] + 500) {
-            asks[i] = std::make_unique<TestConnection>(loop, room, start_connect(all[i]->address), response);
-            asks[i]->send("GET /-/ready HTTP/1.1\r\n\r\n");
-            since[i] = loop.now();
+            connections[i].reset();
+          } else if (!connections[i] || connections[i]->is_ended || loop.now() > connected_at_ms[i] + 500) {
+            connections[i] = std::make_unique<TestConnection>(loop, budget,
+                                                              start_connect(processes[i]->address), response);
+            connections[i]->send("GET /-/ready HTTP/1.1\r\n\r\n");
+            connected_at_ms[i] = loop.now();
           }
         }
         loop.run_once(5);
       }
       return std::count(ready.begin(), ready.end(), true);
     };
-    for (auto& sidecar : all) sidecar->start();
-    REQUIRE(ready_within(30000) == n);
-    for (auto& sidecar : all) sidecar->kill_process();
-    for (auto& sidecar : all) sidecar->start();
+    for (auto& sidecar : processes) sidecar->start();
+    REQUIRE(ready_within(30000) == process_count);
+    for (auto& sidecar : processes) sidecar->kill_process();
+    for (auto& sidecar : processes) sidecar->start();
     CHECK(ready_within(10000) >= 27);
-    CHECK(std::none_of(all.begin(), all.end(), [](auto& sidecar) { return sidecar->has_exited(); }));
+    CHECK(std::none_of(processes.begin(), processes.end(),
+                       [](auto& sidecar) { return sidecar->has_exited(); }));
   }
 }
 
 TEST_CASE(
-    "processes: idle clients hold all descriptors while discovery is down; its list is reached at its "
-    "return") {
+    "processes: discovery's list is fetched after its recovery although idle clients hold all descriptors") {
   for (const bool refused : {false, true}) {
     CAPTURE(refused);
     EventLoop loop;
     FakeServer agent(loop, {}, refused ? bind_on_loopback() : listen_on_loopback());
-    std::vector<FileDescriptor> filling;
+    std::vector<FileDescriptor> backlog_fillers;
     if (!refused) {
       agent.listener_watch.cancel();
-      filling = fill_backlog(agent.listener);
+      backlog_fillers = fill_backlog(agent.listener);
     }
-    FakeServer before(loop, {});
-    FakeServer after(loop, std::vector<std::string>(10, response_text(200, "paid")));
-    SidecarProcess sidecar(agent.address, settings_variants[1], known_endpoint_json(before.address));
+    FakeServer old_endpoint(loop, {});
+    FakeServer new_endpoint(loop, std::vector<std::string>(10, response_text(200, "paid")));
+    SidecarProcess sidecar(agent.address, settings_variants[1], known_endpoint_json(old_endpoint.address));
     const std::string limit = R"("sockets":300)";
     sidecar.config_text.replace(sidecar.config_text.find(limit), limit.size(), R"("sockets":64)");
     sidecar.descriptor_limit = 64;
     sidecar.start();
     REQUIRE(sidecar.ready(loop));
-    FileDescriptorBudget room{400};
-    std::vector<std::unique_ptr<TestConnection>> idle;
+    FileDescriptorBudget budget{400};
+    std::vector<std::unique_ptr<TestConnection>> idle_clients;
     for (int i = 0; i < 150; ++i) {
-      idle.push_back(std::make_unique<TestConnection>(loop, room, start_connect(sidecar.address), response));
+      idle_clients.push_back(
+          std::make_unique<TestConnection>(loop, budget, start_connect(sidecar.address), response));
       if (i % 10 == 0) run_for(loop, 10);
     }
-    // Who is closed for room comes again.
-    const auto stay = [&] {
-      for (auto& c : idle)
-        if (c->is_ended)
-          c = std::make_unique<TestConnection>(loop, room, start_connect(sidecar.address), response);
+    // Clients whose connection was closed to make room connect again.
+    const auto reconnect_closed = [&] {
+      for (auto& client : idle_clients)
+        if (client->is_ended)
+          client = std::make_unique<TestConnection>(loop, budget, start_connect(sidecar.address), response);
     };
-    for (const double end = loop.now() + 1000; loop.now() < end; stay()) loop.run_once(5);
-    CHECK(before.request_targets.empty());
-    filling.clear();
-    const std::string told =
+    for (const double end_ms = loop.now() + 1000; loop.now() < end_ms; reconnect_closed()) loop.run_once(5);
+    CHECK(old_endpoint.request_targets.empty());
+    backlog_fillers.clear();
+    const std::string list_response =
         response_text(200, R"({"generation":2,"reset":true,"instances":[{"instanceId":"b","hostPort":")" +
-                               address_text(after.address) + R"(","lifecycle":"up"}]})");
-    agent.responses = {told};
+                               address_text(new_endpoint.address) + R"(","lifecycle":"up"}]})");
+    agent.responses = {list_response};
     ::listen(agent.listener.get(), 100);
     agent.start_accepting();
-    REQUIRE(wait_for(loop, 3000, [&] { return stay(), !agent.request_targets.empty(); }));
-    for (const double end = loop.now() + 300; loop.now() < end; stay()) loop.run_once(5);
-    idle.clear();
-    TestConnection client(loop, room, start_connect(sidecar.address), response);
+    REQUIRE(wait_for(loop, 3000, [&] { return reconnect_closed(), !agent.request_targets.empty(); }));
+    for (const double end_ms = loop.now() + 300; loop.now() < end_ms; reconnect_closed()) loop.run_once(5);
+    idle_clients.clear();
+    TestConnection client(loop, budget, start_connect(sidecar.address), response);
     client.send(payment_request(1, 3000));
     REQUIRE(wait_for(loop, 4000, [&] { return !client.received.empty() || client.is_ended; }));
     REQUIRE(client.received.size() == 1);
     CHECK(client.received[0].status == 200);
-    CHECK(after.request_targets.size() == 1);
-    CHECK(before.request_targets.empty());
+    CHECK(new_endpoint.request_targets.size() == 1);
+    CHECK(old_endpoint.request_targets.empty());
   }
 }
 
--- a/tests/standing_test.cpp
+++ b/tests/standing_test.cpp
@@ -1,14 +1,13 @@
-// What the standing fleet test newly binds (docs/standing.md): an endpoint list that waits for discovery's
-// return, clients that leave in a burst, slow starts under a whole fleet, file descriptors that idle clients
-// fill. On real sockets but for the fleet, whose clock is stepped.
+// Cases that the standing fleet test has added (docs/standing.md): an endpoint list that waits for
+// discovery's recovery, clients that disconnect in a burst, slow starts under a whole fleet, and file
+// descriptors held by idle clients. All use real sockets, except that the fleet runs on a simulated clock.
 //
-// Two tests of polled lists failed until the wait after a failed poll was bounded. What happened: after an
-// outage of 8 s, 14 of 54 sidecars had no list 6 s after its return (rows of 300 and of 1, whatever the
-// outage was), and the 4 rows of 300 none 4 s after SIGHUP when the first poll failed. Why: the load
-// balancer's waits doubled with each failure up to 15 s, and began at 2.5 to 7.5 s where there are 300
-// sidecars, whatever the failed poll had cost its service. What showed it: the debug log's "poll failed after
-// X ms" with the next "polls" up to 15 s behind it, at a wait that is the same for a refused connect and for
-// silence.
+// The two tests of polled lists guard against too long a wait after a failed poll. The load balancer's
+// waits doubled with each failure up to 15 s and began at 2.5 to 7.5 s with 300 sidecars, whatever the failed
+// poll had cost its service. After an outage of 8 s of any kind, 14 of 54 sidecars, in rows with 300 sidecars
+// and with 1, had no list 6 s after the recovery; the 4 rows with 300 had none 4 s after SIGHUP when the
+// first poll failed. In the debug log, "poll failed after X ms" was followed by the next "polls" up to 15 s
+// later, after the same wait for a refused connect and for silence.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -24,13 +23,12 @@
 
 namespace {
 
-// A change counts as known to the sidecar this long after discovery had it and could be reached.
+// A sidecar counts as knowing a change this long after discovery had the change and could be reached.
 constexpr double update_deadline_ms = 6000;
 
 }  // namespace
 
-TEST_CASE(
-    "a pushed change that waits at the agent is in force 3 s after its return, whatever failed before") {
+TEST_CASE("with continuous polling a change is applied within 3 s of the agent's recovery from any outage") {
   struct Row {
     const char* outage_name = "";
     bool knows_version = false;
@@ -63,7 +61,7 @@
   bool has_switched = false;
   while (clock.now() < started_at_ms + 2000) {
     for (auto& row : rows) row->harness.loop.run_once(0);
-    // SIGHUP in the middle of the outage, to an agent that fails as well.
+    // In the middle of the outage, SIGHUP switches to an agent that fails as well.
     if (!has_switched && clock.now() > started_at_ms + 1000) {
       has_switched = true;
       for (auto& row : rows)
@@ -92,7 +90,9 @@
   }
 }
 
-TEST_CASE("a change that is asked for is in force 6 s after discovery's return, however many ask for it") {
+TEST_CASE(
+    "if the load balancer decides on polls a change is applied within 6 s of the agent's recovery at any "
+    "fleet size") {
   struct Row {
     const char* outage_name = "";
     int sidecar_count = 0;
@@ -141,7 +141,8 @@
 }
 
 TEST_CASE(
-    "where the balancer asks, what SIGHUP leads to is in force 4 s after it, though a first call fails") {
+    "if the load balancer decides on polls a new agent's list is applied within 4 s of SIGHUP although the "
+    "first poll fails") {
   struct Row {
     int sidecar_count = 0;
     EventLoop event_loop;
@@ -206,13 +207,13 @@
   }
 }
 
-// Each has an id of its own.
+// Each request has a unique call id.
 std::string long_request() { return rpc_request_text("read", 3900); }
 std::string three_long_requests() { return long_request() + long_request() + long_request(); }
 
 enum class ListSource { initial, poll };
 
-// As many ids at one address: what a sidecar sends to a single endpoint at once is bounded.
+// Lists `count` endpoint ids at one address, since a sidecar bounds what it sends to one endpoint at once.
 void list_endpoints(SidecarHarness& harness, const std::string& address, std::size_t count,
                     ListSource source = ListSource::initial) {
   std::vector<Endpoint> endpoints;
@@ -223,7 +224,8 @@
   harness.dispatcher.update_endpoints(true, source == ListSource::poll, endpoints);
 }
 
-// Clients that each send three requests at once; every fourth stays, the others leave each in its way.
+// Clients that each send three requests at once. Every fourth one stays; the others disconnect by a FIN, a
+// reset or a half-close.
 struct ClientBurst {
   std::vector<TestConnection*> clients;
   std::size_t remaining_count = 0;
@@ -232,7 +234,7 @@
     for (std::size_t i = 0; i < count; ++i) clients.push_back(&harness.connect_client());
     for (TestConnection* client : clients) client->send(three_long_requests());
   }
-  // How many have left.
+  // Returns how many clients have left.
   std::size_t depart_most() {
     for (std::size_t i = 0; i < clients.size(); ++i) {
       const Departure departure = departures[i % std::size(departures)];
@@ -258,7 +260,8 @@
 }  // namespace
 
 TEST_CASE(
-    "a burst of pipelined clients, most of whom leave while their first attempts connect: theirs stay") {
+    "in a burst of pipelining clients only the first attempts of those that stay are sent when the connects "
+    "succeed") {
   for (const bool cancels : {false, true}) {
     SidecarHarness harness(customer_config(true, cancels, RetrySafety::non_idempotent), slow_upstream_config);
     StalledListener endpoint;
@@ -267,7 +270,7 @@
     REQUIRE(run_until(harness.loop, [&] { return harness.counters.connections_opened == 12; }));
     const std::size_t departed_count = burst.depart_most();
     CHECK(run_until_abandoned(harness, departed_count));
-    run_for(harness.loop, 120);  // connections that begin from now on would be a fault
+    run_for(harness.loop, 120);  // a connection opened from now on would be an error
     endpoint.release();
     run_and_receive(harness, endpoint, 1800);
     CHECK(endpoint.request_count() == burst.remaining_count);
@@ -275,12 +278,13 @@
   }
 }
 
-TEST_CASE("a burst of clients who leave while a retry of theirs connects, or is still to begin") {
+TEST_CASE(
+    "no retry is sent for clients that disconnect in a burst while the retry connects or before it begins") {
   for (const bool cancels : {false, true})
     for (const bool retry_connects : {false, true}) {
       CAPTURE(cancels);
       CAPTURE(retry_connects);
-      constexpr std::size_t count = 6;  // as many as may have a retry at once
+      constexpr std::size_t count = 6;  // as many RPCs as may have a retry at once
       SidecarHarness harness(customer_config(true, cancels, RetrySafety::idempotent), slow_upstream_config);
       FakeServer first(harness.loop, {});
       StalledListener stalled;
@@ -308,8 +312,7 @@
     }
 }
 
-TEST_CASE(
-    "a client that left while waiting for room in the descriptors is served nothing when there is some") {
+TEST_CASE("the request of a client that left while it waited for a free descriptor is not forwarded") {
   for (const bool cancels : {false, true})
     for (const Departure departure : departures) {
       CAPTURE(cancels);
@@ -335,7 +338,7 @@
     }
 }
 
-TEST_CASE("clients that connected, asked and left before the process could run are served nothing") {
+TEST_CASE("requests of clients that connected and left before the process could run are not forwarded") {
   for (const bool cancels : {false, true}) {
     SidecarHarness harness(customer_config(true, cancels, RetrySafety::non_idempotent), slow_upstream_config);
     FakeServer endpoint(harness.loop, std::vector<std::string>(100, served_response));
@@ -355,14 +358,15 @@
       backlog.back()->send(three_long_requests());
       depart(*backlog.back(), departures[i % std::size(departures)]);
     }
-    // The process gets no core.
+    // Simulates a process that gets no CPU.
     for (const double end_ms = harness.loop.now() + 120; harness.loop.now() < end_ms;) continue;
     run_for(harness.loop, 100);
-    CHECK(endpoint.request_targets.size() - requests_before == 9);  // of the three who stay, three each
+    // Three requests from each of the three clients that stay.
+    CHECK(endpoint.request_targets.size() - requests_before == 9);
   }
 }
 
-TEST_CASE("idle clients fill the descriptors while discovery is down: its list is reached when it is back") {
+TEST_CASE("discovery's list is fetched after its recovery although idle clients hold all descriptors") {
   for (const auto& row : outages) {
     const Outage outage = row.first;
     CAPTURE(std::string(row.second));
@@ -381,13 +385,15 @@
       run_for(harness.loop, 5);
     }
     REQUIRE(run_until(harness.loop, [&] { return harness.counters.endpoint_poll_failures >= 2; }));
-    harness.budget.limit = harness.budget.open_count;  // and whatever else holds the rest
+    harness.budget.limit = harness.budget.open_count;  // as if other connections held all the rest
     agent.recover(list_version_9);
     CHECK(run_until(harness.loop, [&] { return updates == "9"; }));
   }
 }
 
-TEST_CASE("a cold server under a fleet of sidecars: attempts stay within 2 roots of the N allowed, and 2") {
+TEST_CASE(
+    "a fleet sends an endpoint in slow start at most the allowed N attempts plus two square roots of N plus "
+    "2") {
   const FleetTraffic table[] = {{"20 sidecars", 20, 20, false},
                                 {"30 sidecars", 30, 20, false},
                                 {"30 sidecars, bursts", 30, 20, true},
@@ -403,12 +409,13 @@
       attempt_count += sent.second.size();
       CHECK(simulation.worst_overload(sent.second) <= 1);
     }
-    CHECK(attempt_count > 100);  // nor are they left idle
+    CHECK(attempt_count > 100);  // the endpoints in slow start are not left idle
   }
 }
 
 TEST_CASE(
-    "a response of no stated length that is reset is incomplete: retried if that is safe, else failed") {
+    "a response without a stated length that ends by a reset is retried if that is safe and fails "
+    "otherwise") {
   enum class Ending { end_of_stream, reset, reset_later };
   for (const Ending ending : {Ending::end_of_stream, Ending::reset, Ending::reset_later})
     for (const RetrySafety retry_safety : {RetrySafety::idempotent, RetrySafety::non_idempotent}) {
