--- a/tests/support/failing_agent.h
+++ b/tests/support/failing_agent.h
@@ -1,4 +1,5 @@
-/// For the tests: a discovery agent that fails in one way until it recovers, and a sidecar that polls it.
+/// \file
+/// Test support: a discovery agent that fails in one way until it recovers, and a sidecar that polls it.
 #pragma once
 
 #include <sstream>
@@ -16,7 +17,7 @@
 inline constexpr std::pair<Outage, const char*> outages[] = {
     {Outage::refused, "refused"},
     {Outage::connect_hangs, "a connect that hangs"},
-    {Outage::silent, "given up without a response"},
+    {Outage::silent, "no response"},
     {Outage::half_response, "half a response"},
     {Outage::malformed_response, "a malformed response"},
     {Outage::error_status, "an error status"}};
@@ -55,7 +56,7 @@
   }
 };
 
-/// A sidecar whose load balancer decides when to poll, with an endpoint list that is known from before.
+/// A sidecar whose load balancer decides when to poll, with an endpoint list known from before its start.
 struct PollingSidecar {
   EventLoop event_loop;
   std::ostringstream log_text;
--- a/tests/support/host.h
+++ b/tests/support/host.h
@@ -1,6 +1,6 @@
 /// \file
-/// Test support: a load balancer with two methods and a small fleet, and fakes on loopback for what a sidecar
-/// talks to. Fakes run in the event loop of the test, so that no test sleeps or races.
+/// Test support: a load balancer with two methods and a few endpoints, and fakes on loopback of the peers of
+/// a sidecar. Fakes run in the event loop of the test, so that no test sleeps or races.
 #pragma once
 
 #include <arpa/inet.h>
@@ -49,7 +49,7 @@
   return {std::move(id), std::move(zone), cell, started_at, state};
 }
 
-/// Endpoints past their slow start, named by the letters from first to last.
+/// Endpoints past their slow start, whose ids are the letters from `first` to `last`.
 inline std::vector<Endpoint> make_endpoints(char first, char last, const std::string& zone = "here") {
   std::vector<Endpoint> endpoints;
   for (char letter = first; letter <= last; ++letter)
@@ -57,7 +57,7 @@
   return endpoints;
 }
 
-/// A load balancer whose clock the test moves.
+/// A load balancer whose clock the test sets.
 struct LoadBalancerHarness {
   LoadBalancer load_balancer;
   double now = 1000;
@@ -70,7 +70,7 @@
     load_balancer.update_endpoints(now, true, false, endpoints);
   }
 
-  /// All pending decisions but those that set timers.
+  /// Returns all pending decisions except those that set timers.
   std::vector<Decision> take_decisions() {
     std::vector<Decision> decisions;
     while (auto decision = load_balancer.next_decision())
@@ -88,7 +88,7 @@
     }
   }
 
-  /// The pending decision, if there is exactly one; else one that no test expects.
+  /// Returns the pending decision if there is exactly one, else a decision that no test expects.
   Decision only_decision() {
     const auto decisions = take_decisions();
     if (decisions.size() == 1) return decisions.front();
@@ -101,8 +101,8 @@
     return id;
   }
 
-  /// An RPC while this endpoint is the only one; its attempt ends with `outcome`. 25 ms is the duration that
-  /// the load balancer assumes before it has measured any.
+  /// Runs an RPC with this endpoint as the only one; its attempt ends with `outcome`. 25 ms is the duration
+  /// that the load balancer assumes before it has measured any.
   void record_attempt(const std::string& endpoint_id, AttemptOutcome outcome, double duration_ms = 25) {
     update_endpoints({make_endpoint(endpoint_id)});
     const std::string id = start_rpc();
@@ -113,7 +113,7 @@
   }
 };
 
-/// The message that the bytes are, fed one by one; an empty one if they are not exactly one message.
+/// Parses the bytes one by one. Returns their message, or an empty one if they are not exactly one message.
 inline http::Message parse_message(http::HttpParser::MessageKind kind, const std::string& bytes) {
   http::HttpParser parser(kind);
   for (const char byte : bytes) {
@@ -124,7 +124,7 @@
   return is_complete ? parser.take_message() : http::Message{};
 }
 
-/// Runs the loop until the condition holds, for two seconds at most; whether it holds.
+/// Runs the loop until the condition holds, for two seconds at most. Returns whether the condition holds.
 inline bool run_until(EventLoop& loop, const std::function<bool()>& condition) {
   const double deadline = loop.now() + 2000;
   while (!condition()) {
@@ -139,7 +139,7 @@
   while (loop.now() < end) loop.run_once(1);
 }
 
-/// What the buffer sends over a socket.
+/// Returns the bytes that the buffer sends over a socket.
 inline std::string write_to_socket(WriteBuffer buffer) {
   std::array<int, 2> ends{};
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends.data()) < 0) return "no socketpair";
@@ -165,7 +165,7 @@
   return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
 }
 
-/// With a port that the kernel chooses.
+/// A loopback address without a port: the kernel chooses one at the bind.
 inline sockaddr_in loopback_address() {
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -175,7 +175,7 @@
 
 inline FileDescriptor listen_on_loopback() { return open_listener(loopback_address()); }
 
-/// A socket that refuses connections until the test lets it listen; meanwhile no other can take its port.
+/// A socket that refuses connections until the test makes it listen; its port stays reserved meanwhile.
 inline FileDescriptor bind_on_loopback() {
   const sockaddr_in address = loopback_address();
   FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -186,7 +186,7 @@
   return fd;
 }
 
-/// One end of a connection: the messages received on it, and whether it has ended.
+/// One end of a connection, with the messages received on it and whether it has ended.
 struct TestConnection {
   EventLoop& loop;
   FileDescriptorBudget& budget;
@@ -234,8 +234,8 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// Answers the requests on loopback with its responses, in order. "close" closes the connection, "silent"
-/// sends nothing, and so does every request after the last response.
+/// A server on loopback that answers requests with its responses in order. The response "close" closes the
+/// connection and "silent" sends nothing. Requests after the last response are not answered.
 struct FakeServer {
   EventLoop& loop;
   FileDescriptorBudget budget{100};
--- a/tests/support/parts.h
+++ b/tests/support/parts.h
@@ -1,6 +1,6 @@
 /// \file
-/// Test support: the parts of a sidecar on loopback, with the event loop run by the test, and endpoints that
-/// keep connects waiting.
+/// Test support: the parts of a sidecar on loopback, whose event loop the test runs, and endpoints to which
+/// connects hang.
 #pragma once
 
 #include <array>
@@ -15,7 +15,7 @@
 constexpr auto request = http::HttpParser::MessageKind::request;
 constexpr auto response = http::HttpParser::MessageKind::response;
 
-/// Everything between clients and endpoints. Its one endpoint is called "a".
+/// The parts of a sidecar between its clients and endpoints. `update_endpoints()` lists one endpoint, "a".
 struct SidecarHarness {
   EventLoop loop;
   std::ostringstream log_text;
@@ -63,7 +63,7 @@
     return client;
   }
 
-  /// Sends a request and waits for the status of its response; 0 if there is none.
+  /// Sends a request, waits for its response and returns the status; 0 if there is none.
   int status_of_request(TestConnection& client, const std::string& text) {
     const std::size_t received_before = client.received.size();
     client.send(text);
@@ -72,7 +72,7 @@
   }
 };
 
-/// Each request has an id of its own unless `id` states one.
+/// Each request has a unique call id unless `id` gives one.
 inline std::string rpc_request_text(const std::string& method = "read", int budget_ms = 300, int id = 0) {
   static int last_id = 0;
   if (id == 0) id = --last_id;
@@ -91,8 +91,8 @@
                                 (is_complete ? "true" : "false") + R"(,"instances":[)" + instances + "]}");
 }
 
-/// A discovery client that writes down what it receives: "=" or "+" with the version for a complete list or
-/// changes, followed by the ids of the endpoints.
+/// A discovery client that records the updates it receives: "=" for a complete list or "+" for changes, then
+/// the version and the ids of the endpoints.
 struct DiscoveryHarness {
   EventLoop loop;
   std::ostringstream log_text;
@@ -120,7 +120,7 @@
   }
 };
 
-/// Fills the listener's backlog, so that connects to it hang; the connections have to be kept.
+/// Fills the listener's backlog, so that connects to it hang while the returned connections are kept.
 inline std::vector<FileDescriptor> fill_backlog(const FileDescriptor& listener) {
   ::listen(listener.get(), 0);
   constexpr std::size_t enough_to_fill = 8;
@@ -131,8 +131,8 @@
   return connections;
 }
 
-/// An endpoint with a full backlog: connects to it hang until `release()`, and succeed when their kernel
-/// repeats the SYN, a second after the first one. It records what it receives and sends nothing.
+/// An endpoint with a full backlog. Connects to it hang until `release()` and then succeed when the kernel
+/// repeats the SYN, a second after the first one. The endpoint records what it receives and sends nothing.
 struct StalledListener {
   FileDescriptor listener = listen_on_loopback();
   sockaddr_in address = local_address(listener);
@@ -183,8 +183,8 @@
              counters.rpcs_ok + counters.rpcs_rejected + counters.rpcs_failed + counters.rpcs_abandoned;
 }
 
-/// Customers' settings that differ in what bears on outcomes. The long deadline leaves a connect the second
-/// that a lost SYN costs.
+/// Settings of different customers, as far as they affect outcomes. The long deadline leaves a connect time
+/// for the second that a lost SYN costs.
 inline LoadBalancerConfig customer_config(bool has_long_deadline, bool cancels, RetrySafety retry_safety,
                                           DeduplicationScope scope = DeduplicationScope::global) {
   LoadBalancerConfig config = test_config(retry_safety, scope);
@@ -201,12 +201,13 @@
 }
 inline constexpr ConnectionConfig slow_upstream_config{5000, 3000, 300};
 
-/// Iterations of the loop in which nothing has to wait for time.
+/// Runs iterations of the loop that do not wait for events or timers.
 inline void run_rounds(EventLoop& loop, int rounds = 20) {
   for (int i = 0; i < rounds; ++i) loop.run_once(0);
 }
 
-/// Runs the loop until the condition holds; how long that took, or -1 if it was longer than `max_ms`.
+/// Runs the loop until the condition holds. Returns how long that took, in ms, or -1 after more than
+/// `max_ms`.
 inline double elapsed_until(EventLoop& loop, double max_ms, const std::function<bool()>& condition) {
   const double start = loop.now();
   while (!condition()) {
