--- a/src/clock/clock_drift.h
+++ b/src/clock/clock_drift.h
@@ -1,6 +1,6 @@
 /// \file
-/// Durations measured by clocks that do not agree: each process counts by its own clock, whose rate is off by
-/// a bounded fraction. No I/O; the time is always given by the caller.
+/// Durations measured by clocks that do not agree: each process uses its own clock, whose rate is off by a
+/// bounded fraction. No I/O; the caller always passes the time.
 #pragma once
 
 namespace indigorill {
@@ -8,8 +8,8 @@
 /// A duration, or a point in time of one process' own clock, in milliseconds.
 using Milliseconds = double;
 
-/// How long `duration` by any clock can last by any other one, where the rate of each is off by at most the
-/// fraction `max_clock_drift` of true time.
+/// Returns how long a `duration` measured by one clock can be by any other clock, if the rate of each is off
+/// by at most the fraction `max_clock_drift` of true time.
 constexpr Milliseconds with_drift_margin(Milliseconds duration, double max_clock_drift) {
   return duration * (1 + max_clock_drift) / (1 - max_clock_drift);
 }
--- a/src/event/event_loop.cpp
+++ b/src/event/event_loop.cpp
@@ -10,11 +10,11 @@
 namespace indigorill {
 namespace {
 
-// As many as the process may hold descriptors: one iteration sees all that are ready, so that those with
-// priority can go ahead of the rest.
+// As many as the process may hold descriptors, so that one iteration sees all ready ones and can dispatch
+// those with priority first.
 constexpr std::size_t max_events_per_iteration = 1024;
 
-// Nothing depends on it: each timer shortens the wait.
+// No timer depends on this bound, since each timer shortens the wait.
 constexpr double max_epoll_wait_ms = 60000;
 
 template <class Clock>
@@ -139,7 +139,8 @@
 }
 
 void EventLoop::run_due_timers() {
-  // Only those due by now: callbacks that schedule new timers at once must not starve the descriptors.
+  // Runs only timers that are due by now: callbacks that schedule new timers at once must not starve the
+  // descriptors.
   const double until_ms = now();
   while (!timers_.empty() && timers_.begin()->first.due_ms <= until_ms) {
     const Callback callback = std::move(timers_.begin()->second);
--- a/src/event/event_loop.h
+++ b/src/event/event_loop.h
@@ -31,7 +31,7 @@
  private:
   struct TimerKey {
     double due_ms = 0;
-    std::uint64_t id = 0;  // breaks ties: timers due at one time fire in the order of their scheduling
+    std::uint64_t id = 0;  // breaks ties: timers due at the same time fire in the order of scheduling
 
     friend bool operator<(const TimerKey& left, const TimerKey& right) {
       return std::pair(left.due_ms, left.id) < std::pair(right.due_ms, right.id);
@@ -58,7 +58,7 @@
   };
 
   /// Handle of a descriptor registered with the loop. It doesn't own the descriptor and must be cancelled
-  /// before that is closed.
+  /// before the descriptor is closed.
   class Watch {
    public:
     Watch() = default;
@@ -78,9 +78,9 @@
   /// Which events of one iteration are dispatched ahead of the others.
   enum class WatchPriority {
     normal,
-    /// All events first, so that operators are served while clients crowd the process.
+    /// All events go first, so that operators are served while clients crowd the process.
     high,
-    /// A hangup or an error first, so that abandoned work is dropped before more work begins, also when the
+    /// Hangups and errors go first, so that abandoned work is dropped before more work begins, also when the
     /// process was suspended for a while.
     high_on_hangup
   };
@@ -94,8 +94,9 @@
   /// Calls `callback` once when the clock reaches `due_ms`, unless the returned handle is cancelled first.
   Timer schedule_at(double due_ms, Callback callback);
 
-  /// Calls `callback` on each readiness change of `fd`. Edge-triggered: it has to read, write or accept until
-  /// EAGAIN, or to `requeue()` itself. Throws std::system_error if the descriptor can't be registered.
+  /// Calls `callback` on each readiness change of `fd`. The watch is edge-triggered: the callback has to
+  /// read, write or accept until EAGAIN, or to `requeue()` the watch. Throws std::system_error if the
+  /// descriptor can't be registered.
   Watch watch_fd(int fd, EventCallback callback, WatchPriority priority = WatchPriority::normal);
 
   /// Dispatches EPOLLIN | EPOLLOUT to the watch in the next iteration, after the events of other descriptors.
--- a/src/event/file_descriptor.h
+++ b/src/event/file_descriptor.h
@@ -30,8 +30,8 @@
   int fd_ = -1;
 };
 
-/// How many descriptors the process may hold and how many it does. Whoever opens one checks `available()`
-/// first; `TcpStream` keeps the count.
+/// How many descriptors the process may hold and how many it holds. Code that opens a descriptor checks
+/// `available()` first; `TcpStream` keeps the count.
 struct FileDescriptorBudget {
   std::size_t limit;
   std::size_t open_count = 0;
--- a/src/event/socket.cpp
+++ b/src/event/socket.cpp
@@ -24,15 +24,15 @@
   ::setsockopt(fd, level, option, &enabled, sizeof enabled);
 }
 
-/// The value of a socket option; -1 if `fd` is no socket.
+/// Returns the value of a socket option; -1 if `fd` is not a socket.
 int read_option(int fd, int option) {
   int value = 0;
   socklen_t size = sizeof value;
   return ::getsockopt(fd, SOL_SOCKET, option, &value, &size) < 0 ? -1 : value;
 }
 
-/// Accepted connections inherit it: data that waited in the backlog or in kernel buffers then tells for how
-/// long.
+/// Accepted connections inherit the option. Their data then shows for how long it waited in the backlog or in
+/// kernel buffers.
 void enable_receive_timestamps(int listener) { enable_option(listener, SOL_SOCKET, SO_TIMESTAMPNS); }
 
 }  // namespace
@@ -71,7 +71,7 @@
                        .field = "LB_INHERITED_FD",
                        .cause = "names no listening TCP socket: " + std::to_string(fd)});
   enable_receive_timestamps(fd);
-  // O_NONBLOCK belongs to the socket, so it holds for all processes that share it: a blocking accept would
+  // O_NONBLOCK belongs to the socket and so applies to all processes that share it. A blocking accept would
   // stall the event loop.
   if (::fcntl(fd, F_SETFL, ::fcntl(fd, F_GETFL) | O_NONBLOCK) < 0 || ::fcntl(fd, F_SETFD, FD_CLOEXEC) < 0)
     throw std::system_error(errno, std::generic_category(), "fcntl");
--- a/src/event/socket.h
+++ b/src/event/socket.h
@@ -15,15 +15,15 @@
 /// else.
 std::optional<sockaddr_in> parse_socket_address(const std::string& text);
 
-/// Binds and listens. Throws std::system_error if the kernel refuses.
+/// Opens a socket, binds it and listens. Throws std::system_error if one of these fails.
 FileDescriptor open_listener(const sockaddr_in& address);
 
 /// Takes ownership of a listening socket that another process opened and may still hold. Throws ConfigError
 /// if `fd` is not a listening TCP socket, std::system_error if it can't be made non-blocking.
 FileDescriptor adopt_listener_fd(int fd);
 
-/// Starts to connect; the socket becomes writable when that has succeeded or failed. Empty if the attempt
-/// failed at once.
+/// Starts to connect. The socket becomes writable when the connect has succeeded or failed. Returns an empty
+/// descriptor if the connect failed at once.
 FileDescriptor start_connect(const sockaddr_in& address);
 
 }  // namespace indigorill
--- a/src/event/tcp_stream.cpp
+++ b/src/event/tcp_stream.cpp
@@ -16,15 +16,15 @@
 namespace indigorill {
 namespace {
 
-// A longer age is not a wait but a step of the wall clock.
+// A longer age results from a step of the wall clock, not from a wait.
 constexpr double max_receive_age_ms = 60000;
 
-// The head of a message takes about ten; the rest goes out with the next call.
+// The head of a message takes about ten vectors. Vectors that don't fit are sent by the next call.
 constexpr std::size_t max_vectors_per_write = 64;
 
 constexpr std::size_t discard_bytes_per_call = std::size_t{256} * 1024;
 
-/// How long ago, in ms, the kernel received the data of `message`; 0 if that has no usable timestamp.
+/// How long ago, in ms, the kernel received the data of `message`; 0 if the message has no usable timestamp.
 double kernel_receive_age_ms(msghdr& message) {
   for (cmsghdr* control = CMSG_FIRSTHDR(&message); control; control = CMSG_NXTHDR(&message, control)) {
     if (control->cmsg_level != SOL_SOCKET || control->cmsg_type != SCM_TIMESTAMPNS) continue;
@@ -40,7 +40,7 @@
 
 bool is_would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
-/// The status of a receive call that returned `result`, with errno set if that is negative.
+/// The status of a receive call that returned `result`, with errno set if `result` is negative.
 TcpStream::ReadStatus read_status(ssize_t result) {
   if (result > 0) return TcpStream::ReadStatus::data;
   if (result == 0) return TcpStream::ReadStatus::end_of_stream;
--- a/src/event/tcp_stream.h
+++ b/src/event/tcp_stream.h
@@ -13,7 +13,7 @@
 namespace indigorill {
 
 /// Owns a connected socket, or one that is connecting, and counts it in a descriptor budget. The loop and the
-/// budget must outlive it.
+/// budget must outlive the stream.
 class TcpStream {
  public:
   enum class ReadStatus { data, would_block, end_of_stream, error };
@@ -43,17 +43,17 @@
   /// The pending socket error (SO_ERROR), for instance of a connect; 0 if there is none.
   int pending_error() const;
 
-  /// True if an idle connection can't be reused: the peer closed it, or sent data that nothing asked for.
+  /// True if an idle connection can't be reused: the peer closed it or sent unrequested data.
   bool is_stale() const;
 
   bool has_unread_input() const;
 
-  /// Those of EPOLLRDHUP, EPOLLHUP and EPOLLERR that hold at this moment; 0 for none.
+  /// The flags among EPOLLRDHUP, EPOLLHUP and EPOLLERR that are set now; 0 for none.
   std::uint32_t poll_hangup_events() const;
 
   void shutdown_write();
 
-  /// Makes closing send a reset instead of an orderly end.
+  /// Makes the close send a reset instead of a FIN.
   void reset_on_close();
 
   /// Bytes written that the peer's kernel has not acknowledged yet.
--- a/src/event/write_buffer.h
+++ b/src/event/write_buffer.h
@@ -13,16 +13,16 @@
 
 namespace indigorill {
 
-/// Chunks of bytes that are written in order with as few system calls as possible, and how far that has come.
-/// Borrowed chunks avoid a copy of what is forwarded; they must stay valid until `is_complete()`.
+/// Chunks of bytes that are written in order with as few system calls as possible, and the progress of the
+/// write. Borrowed chunks avoid a copy of forwarded bytes; they must stay valid until `is_complete()`.
 class WriteBuffer {
  public:
   void append_owned(std::string chunk);
   void append_borrowed(std::string_view chunk);
 
-  /// All of it was written.
+  /// All bytes were written.
   bool is_complete() const { return next_chunk_ == chunks_.size(); }
-  /// Some of it was written.
+  /// Some bytes were written.
   bool has_started() const { return written_bytes_ > 0; }
   std::size_t written_bytes() const { return written_bytes_; }
 
@@ -33,7 +33,7 @@
   void advance(std::size_t count);
 
  private:
-  std::deque<std::string> owned_chunks_;  // a deque: appending must not move the strings that are pointed to
+  std::deque<std::string> owned_chunks_;  // a deque: appending must not move strings that chunks_ views
   std::vector<std::string_view> chunks_;  // the first unwritten one is shortened as it is written
   std::size_t next_chunk_ = 0;
   std::size_t written_bytes_ = 0;
