--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -230,8 +230,8 @@
         REQUIRE(run_until(sidecar.loop, [&] { return client.received.size() == 1; }));
         CHECK(client.received[0].status == 200);
         CHECK(attempts_with_outcome(sidecar, AttemptOutcome::withdrawn) == 1);
-        CHECK(attempts_with_outcome(sidecar, AttemptOutcome::connect_failed) ==
-              0);  // the endpoint is not at fault
+        // The endpoint is not at fault.
+        CHECK(attempts_with_outcome(sidecar, AttemptOutcome::connect_failed) == 0);
         CHECK(other_endpoint.request_targets.size() == 1);
         CHECK(every_rpc_answered_once(sidecar));
       }
@@ -271,8 +271,8 @@
     CAPTURE(i);
     const bool window_has_ended = i % 2 == 0;
     CHECK(attempts_with_outcome(cases[i]->sidecar, AttemptOutcome::withdrawn) == (window_has_ended ? 1 : 0));
-    CHECK(cases[i]->sidecar.connections[0]->received.size() ==
-          (window_has_ended ? 1 : 0));  // answered at once, as no further attempt is allowed
+    // The RPC is answered at once, as no further attempt is allowed.
+    CHECK(cases[i]->sidecar.connections[0]->received.size() == (window_has_ended ? 1 : 0));
   }
   release_all(cases);
   for (std::size_t i = 0; i < cases.size(); ++i) CHECK(cases[i]->endpoint.request_count() == i % 2);
@@ -362,8 +362,7 @@
     const char* description;
     int complete_requests;         // after the first one
     std::size_t incomplete_bytes;  // body bytes of a last request that is incomplete; 0 without one
-    bool is_in_flight;  // the first is at the endpoint before the close; else all arrives in one loop
-                        // iteration
+    bool is_in_flight;             // the first is at the endpoint before the close; else all arrives at once
   } table[] = {
       {"one request, then the close", 0, 0, false},
       {"more of the next request than is read ahead, the first in flight", 0, 20000, true},
@@ -433,7 +432,7 @@
                       std::to_string(content.size()) + "\r\n\r\n");
     body.append_borrowed(content);
     std::size_t written_before = 1;
-    while (body.written_bytes() != written_before) {  // until the sidecar takes no more either
+    while (body.written_bytes() != written_before) {  // until neither endpoint nor sidecar takes more
       written_before = body.written_bytes();
       client.stream->write(body);
       run_for(sidecar.loop, 30);
--- a/tests/endings_upstream_test.cpp
+++ b/tests/endings_upstream_test.cpp
@@ -36,8 +36,8 @@
       endpoint.connections.back()->send(response_text(200, "three"));
       REQUIRE(run_until(sidecar.loop, [&] { return client.received.size() == 3; }));
       CHECK(client.received[2].body() == "three");
-      CHECK(run_until(sidecar.loop,
-                      [&] { return endpoint.connections[1]->is_ended; }));  // the connection is not reused
+      // The connection is not reused.
+      CHECK(run_until(sidecar.loop, [&] { return endpoint.connections[1]->is_ended; }));
     }
 }
 
