--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -6,9 +6,9 @@
 namespace indigorill {
 namespace {
 
-// What the agent holds counts as known to this sidecar, so two of these timeouts, a poll in vain and the
-// pause behind it, have to pass well within the drain grace. The lower bound is what a process may wait for
-// its core.
+// A change that the agent has counts as known to this sidecar, so a failed poll and the delay before its
+// retry, at most two prompt timeouts, have to end well within the drain grace. The minimum allows for the
+// time that a process may wait for a CPU core.
 constexpr double prompt_timeout_per_drain_grace = 0.25;
 constexpr double min_prompt_timeout_ms = 20;
 constexpr double max_prompt_timeout_ms = 250;
@@ -18,21 +18,23 @@
                     max_prompt_timeout_ms);
 }
 
-// A watch that fell silent is broken, and what it misses counts as known 6 s after that, or 2 s after the
-// wait where that is later: with this wait, silence is found within 3 s of its first moment. Once broken, the
-// next poll is one that needs no wait, and its answer is due at once.
+// A watch that goes silent is broken. The changes that it misses count as known 6 s after it went silent, or
+// 2 s after the end of its wait if that is later. With this wait, silence is detected within 3 s of its
+// beginning. With continuous polling, the poll after a broken watch asks the agent not to wait, so its
+// response is due at once.
 constexpr int long_poll_wait_ms = 2000;
 constexpr double long_poll_transfer_ms = 1000;
 constexpr int prompt_poll_wait_ms = 1;
 
-// Where the load balancer decides on polls, the one service behind the agents may take its time: more of it
-// once a poll has failed, as the next one is worked on behind what waits there already.
+// Response timeouts of polls that the load balancer schedules. The one service behind all agents may be slow,
+// and it handles a poll after a failed one only after those that are queued already, so that poll gets more
+// time.
 constexpr double requested_poll_timeout_ms = 1500;
 constexpr double repeated_poll_timeout_ms = 3000;
 
-// Continuous polls follow each other within a fraction of the drain grace, too fast for a slow agent. One of
-// them stays open for this long at least: with its successor, it leaves that 2.5 s of the 6 s after which a
-// change counts as known although polls failed.
+// Continuous polls follow each other within a fraction of the drain grace, which is too fast for a slow
+// agent, so an overdue poll stays open for at least this long before a newer overdue poll replaces it. Of the
+// 6 s after which a change counts as known even if polls failed, this leaves 2.5 s for the newer poll.
 constexpr double min_older_poll_age_ms = 3000;
 
 }  // namespace
@@ -73,7 +75,7 @@
   poll();
 }
 
-// The agent may hold its answer back until something changes.
+// True if the agent may delay its response until the list changes.
 bool DiscoveryClient::is_long_poll() const {
   return !needs_complete_list_ && (last_poll_succeeded_ || !polls_continuously_);
 }
@@ -118,7 +120,7 @@
       is_long_poll() ? long_poll_wait_ms + long_poll_transfer_ms : prompt_response_timeout_ms();
   response_timer_ = event_loop_.schedule_at(poll_started_at_ms_ + response_timeout_ms,
                                             [this] { handle_timeout(PollFailure::response_timed_out); });
-  // A connection that doesn't come up must not pass for a watch that waits.
+  // A connection that is not established in time must not be mistaken for a watch that waits for changes.
   connect_timer_ = event_loop_.schedule_at(poll_started_at_ms_ + prompt_response_timeout_ms(), [this] {
     if (!connection_->is_connected()) handle_timeout(PollFailure::connect_timed_out);
   });
@@ -143,7 +145,7 @@
   try {
     update = parse_update(response.body());
   } catch (const ParseError& error) {
-    // The known endpoints stay: one bad answer must not leave this sidecar without any.
+    // The known endpoints stay in use: one invalid response must not leave this sidecar without endpoints.
     ++counters_.malformed_endpoint_lists;
     if (!is_older) needs_complete_list_ = true;
     return fail(PollFailure::invalid_list, error.what());
@@ -160,11 +162,12 @@
   else if (connection.is_awaiting_response())
     handle_failure(failure);
   else
-    connection_.reset();  // between two polls: the next one opens another
+    connection_.reset();  // idle between two polls; the next poll opens a new one
 }
 
-// What was received in the meantime may be on its way, and a service that is slow with all it answers would
-// never be heard if each poll began anew.
+// Keeps the overdue poll open beside the next one; with continuous polling, an older overdue poll is kept
+// instead until it has reached its minimum age. The response may be on its way, and if each overdue poll were
+// abandoned, no response of a service that always takes longer than the timeout would ever arrive.
 void DiscoveryClient::handle_timeout(PollFailure failure) {
   const bool replaces_older_poll =
       !older_connection_ || !polls_continuously_ || older_connection_->poll_age_ms() >= min_older_poll_age_ms;
@@ -178,8 +181,8 @@
   older_connection_.reset();
 }
 
-// Throws ParseError also where changes don't apply to the list that is known. An agent that starts over sends
-// its complete list.
+// Also throws ParseError if the update holds changes that don't apply to the known list. An agent whose
+// versions start over sends its complete list.
 EndpointListUpdate DiscoveryClient::parse_update(std::string_view body) const {
   EndpointListUpdate update = parse_endpoint_list(body);
   if (!update.complete && (needs_complete_list_ || update.version < version_))
@@ -200,8 +203,9 @@
 }
 
 void DiscoveryClient::schedule_next_watch(const EndpointListUpdate& update, double response_time_ms) {
-  // At once, since what changes in between counts as known; but an agent that doesn't wait must not keep this
-  // process busy. A watch without changes normally takes at least 200 ms.
+  // The next watch starts at once, since a change between two watches counts as known. After a hasty response
+  // it starts after a pause, since an agent that doesn't wait must not keep this process busy. A watch
+  // without changes normally takes at least 200 ms.
   constexpr double hasty_response_ms = 20;
   constexpr double pause_after_hasty_response_ms = 100;
   const bool is_hasty =
@@ -224,12 +228,12 @@
 
 void DiscoveryClient::schedule_retry(bool was_watching) {
   if (polls_continuously_) {
-    // Jitter: the service behind the agents serves all sidecars.
+    // The jitter spreads the polls of all sidecars, which one service behind the agents handles.
     std::uniform_real_distribution<double> jitter(0.5, 1);
     schedule_poll(prompt_timeout_ms_ * jitter(random_engine_));
   } else if (was_watching) {
-    // A watch that broke is opened anew at once: what it misses soon counts as known, and the load balancer's
-    // backoff is meant for a service that can't answer.
+    // A broken watch is reopened at once: the changes that it misses soon count as known, and the load
+    // balancer's backoff is meant for a service that can't answer.
     schedule_poll(0);
   } else {
     on_poll_failed_(event_loop_.now() - poll_started_at_ms_);
--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -1,5 +1,6 @@
-/// The client of discovery's agent: polls the endpoint list over HTTP and keeps a watch (a long poll) open
-/// while that works.
+/// \file
+/// Client of the discovery agent: polls the endpoint list over HTTP and keeps a watch (a long poll) open
+/// while polls succeed.
 #pragma once
 
 #include <cstdint>
@@ -16,18 +17,19 @@
 
 namespace indigorill {
 
-/// A poll that is not answered in time has failed, but its connection stays open beside the next one, so that
-/// a slow service is not worked for in vain: two at most are open, and the first valid list counts. A failed
-/// poll leaves the endpoint list as it is; when the next one starts is decided by the load balancer, or by
-/// the client itself where continuous polling is enabled.
+/// A poll that is not answered in time counts as failed, but it may stay open beside the next poll, so that
+/// the late response of a slow service can still be used. At most two polls are open, and the first valid
+/// list is applied. A failed poll leaves the endpoint list as it is. The load balancer decides when the next
+/// poll starts, except after a broken watch or with continuous polling, where the client itself does.
 class DiscoveryClient {
  public:
   using UpdateHandler = std::function<void(const EndpointListUpdate&)>;
   using FailureHandler = std::function<void(double poll_duration_ms)>;
 
-  /// `agent_host`: for the Host header. `drain_grace_ms`: how long a draining endpoint still serves, which
-  /// bounds how late its removal may be noticed. `on_poll_failed`: called where the load balancer has to
-  /// decide on the next poll. The first four must outlive the client; all handlers run in the event loop.
+  /// `agent_host`: value of the Host header. `drain_grace_ms`: time for which a draining endpoint still
+  /// serves, which limits how late its removal may be noticed. `on_poll_failed`: called when a poll has
+  /// failed and the load balancer has to schedule the next one. The first four arguments must outlive the
+  /// client. All handlers are called from the event loop or from within `poll()`.
   DiscoveryClient(EventLoop& event_loop, FileDescriptorBudget& descriptor_budget, Counters& counters,
                   Logger& logger, const sockaddr_in& agent_address, std::string agent_host,
                   std::uint64_t seed, double drain_grace_ms, UpdateHandler on_update,
@@ -35,15 +37,15 @@
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  /// Polls for changes since the version known, or for the complete list if there is none. Does nothing while
-  /// a poll is under way whose time has not passed.
+  /// Polls for changes since the known version, or for the complete list if no valid version is known. Does
+  /// nothing while a poll that is not overdue is in flight.
   void poll();
-  /// `version`: of a list that is known already, from before the start.
+  /// Sets the version of an endpoint list that was known before the first poll.
   void set_known_version(std::uint64_t version);
-  /// Polls another agent, which may count versions otherwise: the known endpoints stay until it sends its
-  /// complete list.
+  /// Polls another agent from now on, whose versions may be unrelated to those of the former one: the known
+  /// endpoints stay in use until it sends its complete list.
   void switch_agent(const sockaddr_in& agent_address, std::string agent_host);
-  /// The client itself starts the next poll after a failed one.
+  /// Makes the client itself start the next poll after a failed one.
   void enable_continuous_polling() { polls_continuously_ = true; }
 
  private:
@@ -73,19 +75,20 @@
   UpdateHandler on_update_;
   FailureHandler on_poll_failed_;
   PollConnection::Handlers connection_handlers_;
-  /// Within this time a live agent answers a poll that needs no wait.
+  /// With continuous polling: timeout of a poll that asks the agent not to wait, and longest delay before a
+  /// retry, in ms.
   double prompt_timeout_ms_;
   bool polls_continuously_ = false;
   bool needs_complete_list_ = true;
   /// The last poll failed, and that was logged.
   bool is_failing_ = false;
-  /// The agent answered the last poll: the next one may wait there.
+  /// The agent answered the last poll, so the next one may ask it to wait.
   bool last_poll_succeeded_ = false;
   std::uint64_t version_ = 0;
   double poll_started_at_ms_ = 0;
-  /// Of the newest poll, or idle between two polls.
+  /// Connection of the newest poll; idle between two polls, null if none is open.
   std::unique_ptr<PollConnection> connection_;
-  /// Of a poll whose time has passed, and that may be answered yet.
+  /// Connection of an overdue poll that may still be answered; null if there is none.
   std::unique_ptr<PollConnection> older_connection_;
   EventLoop::Timer response_timer_;
   EventLoop::Timer connect_timer_;
