--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -1,4 +1,5 @@
-/// The endpoint list as discovery's agent, the config file and a parent process write it, in JSON.
+/// \file
+/// The JSON form of the endpoint list, which the discovery agent, the config file and a parent process use.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +16,17 @@
 struct EndpointListUpdate {
   struct Entry {
     Endpoint endpoint;
-    /// "address:port"; may be empty where the endpoint is gone.
+    /// "address:port"; may be empty if the endpoint is gone.
     std::string address;
   };
 
   std::uint64_t version = 0;
-  /// The entries are the whole list, not changes.
+  /// True if the entries are the complete list, false if they are changes.
   bool complete = false;
   std::vector<Entry> entries;
 };
 
-/// These two throw ParseError, whose text names the field and what is wrong with it.
+/// Both functions throw ParseError, whose text names the field and the error.
 EndpointListUpdate decode_endpoint_list(const JsonFields& fields);
 EndpointListUpdate parse_endpoint_list(std::string_view text);
 
--- a/src/discovery/poll_connection.cpp
+++ b/src/discovery/poll_connection.cpp
@@ -5,10 +5,10 @@
 namespace indigorill {
 namespace {
 
-// Some 20,000 entries.
+// Enough for about 20,000 entries.
 constexpr std::size_t max_endpoint_list_bytes = std::size_t{4} * 1024 * 1024;
 
-// One connection must not keep the event loop from the others.
+// One connection must not keep the event loop from serving the others.
 constexpr int max_reads_per_event = 16;
 
 }  // namespace
@@ -67,7 +67,7 @@
   stream_.requeue();
 }
 
-// True once the connection is up.
+// True once the connection is established; reports a failed connect.
 bool PollConnection::finish_connect(std::uint32_t events) {
   const bool has_failed = (events & (EPOLLERR | EPOLLHUP)) != 0 || stream_.pending_error() != 0;
   if (has_failed) {
@@ -78,7 +78,7 @@
   return is_connected_;
 }
 
-// Reads once; true if there may be more to read. The connection may be gone afterwards if not.
+// Reads once; true if there may be more to read. After false, the connection may have been destroyed.
 bool PollConnection::read_response() {
   using ReadStatus = TcpStream::ReadStatus;
   using ParseState = http::HttpParser::ParseState;
--- a/src/discovery/poll_connection.h
+++ b/src/discovery/poll_connection.h
@@ -1,4 +1,5 @@
-/// One connection to discovery's agent, and the poll on it.
+/// \file
+/// A connection to the discovery agent and the poll on it.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 namespace indigorill {
 
-/// Why a poll of the endpoint list brought none.
+/// Reason for which a poll of the endpoint list failed.
 enum class PollFailure {
   connect_failed,
   connect_timed_out,
@@ -24,33 +25,34 @@
   invalid_list
 };
 
-/// In the words of the log.
+/// Text for the log, to which the caller appends an unexpected status or the error of an invalid list.
 std::string_view describe(PollFailure failure);
 
-/// Carries one poll at a time and reports how it ends; knows no timeouts and no endpoint list.
+/// Carries one poll at a time and reports its outcome. Its owner handles timeouts and decodes the endpoint
+/// list.
 class PollConnection {
  public:
-  /// Called from the event loop, or from within `send()`, as the last thing that the connection does: it may
-  /// be destroyed there.
+  /// Called from the event loop or from within `send()`. The call is the last action of the connection, so
+  /// the handler may destroy it.
   struct Handlers {
     /// `reusable`: the connection can carry another poll.
     std::function<void(PollConnection&, const http::Message&, bool reusable)> on_response;
-    /// The connection can't be used any more; it may have been idle.
+    /// The connection can't be used any more. Also called for an idle connection.
     std::function<void(PollConnection&, PollFailure)> on_failure;
   };
 
-  /// Starts to connect; empty if that failed at once. The references must outlive the connection.
+  /// Starts to connect; null if that fails at once. The references must outlive the connection.
   static std::unique_ptr<PollConnection> open(EventLoop& event_loop, FileDescriptorBudget& descriptor_budget,
                                               const sockaddr_in& agent_address, const Handlers& handlers);
   PollConnection(const PollConnection&) = delete;
   PollConnection& operator=(const PollConnection&) = delete;
 
-  /// Sends the request once the connection is up. Only where no response is awaited.
+  /// Sends the request once the connection is established. Must not be called while a response is awaited.
   void send(const std::string& request);
 
   bool is_connected() const { return is_connected_; }
   bool is_awaiting_response() const { return is_awaiting_response_; }
-  /// For how long, in ms, the last poll has been under way.
+  /// Time since the last call of `send()`, in ms.
   double poll_age_ms() const { return event_loop_.now() - poll_started_at_ms_; }
 
  private:
