--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -8,8 +8,9 @@
 
 constexpr const char* endpoint_list_file_name = "list.json";
 
-// A change of ejections has to be in force in both processes, and answered, within a second: paired processes
-// poll often. A process that is alone only looks for a child, with one or two system calls each time.
+// A change of ejections has to be in force in both processes, and its request answered, within a second, so
+// paired processes poll often. A process that runs alone only checks for a child process, which takes one or
+// two system calls per poll.
 constexpr double standalone_poll_interval_ms = 20;
 constexpr double paired_poll_interval_ms = 5;
 
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -1,6 +1,7 @@
-/// Hot restart: a child process takes over from its parent, both serving one sidecar's clients for a while.
-/// This is the process's side of it: it polls and publishes records in the directory that both share, and
-/// asks HotRestartPolicy what follows from them.
+/// \file
+/// Hot restart: a child process takes over from its parent, and both serve one sidecar's clients for a while.
+/// HotRestart polls and publishes records in the directory that both processes share; HotRestartPolicy
+/// decides what follows from them.
 #pragma once
 
 #include <functional>
@@ -15,38 +16,38 @@
 
 namespace indigorill {
 
-/// One process's view of the other. The event loop and the logger must outlive it.
+/// This process's side of a hot restart. The event loop and the logger must outlive it.
 class HotRestart {
  public:
-  /// `parent_directory`: where the processes meet, in a directory of the sidecar's name. If that is empty or
-  /// can't be used, a warning is logged and this process runs standalone.
+  /// `parent_directory`: directory that holds the shared directory, which is named after the sidecar. If the
+  /// shared directory can't be used, a warning is logged and this process runs standalone.
   HotRestart(EventLoop& event_loop, Logger& logger, const std::string& parent_directory,
              const std::string& sidecar_name);
   HotRestart(const HotRestart&) = delete;
   HotRestart& operator=(const HotRestart&) = delete;
 
-  /// Starts polling. `on_change` is called once at the start, at each poll while there are two processes, and
-  /// when the other one has ended; `on_ejections_changed` when manual ejections change. Both run in the event
-  /// loop.
+  /// Starts polling. `on_change` is called once by `start()` itself, at each poll while there are two
+  /// processes, and when the other process has ended; `on_ejections_changed` is called when manual ejections
+  /// change. Both are called from the event loop or from within a call of a member function.
   void start(EventLoop::Callback on_change, EjectionReplicator::RecordCallback on_ejections_changed);
 
   const HotRestartPolicy& policy() const { return policy_; }
   /// The manual ejections that are in force in this process.
   const EjectionRecord& ejections() const { return ejection_replicator_.ejections(); }
 
-  /// These three tell the other process at once.
+  /// The next three functions publish the new state to the other process at once.
   void start_serving();
   void start_draining();
   void set_limits_reduced(bool are_reduced);
 
-  /// Changes the manual ejections in all processes of this sidecar, then calls `on_done`; if that fails,
-  /// everything is as it was before.
+  /// Changes the manual ejections in all processes of this sidecar, then calls `on_done`. A change that fails
+  /// is rolled back.
   void change_ejections(EjectionReplicator::Change apply, EjectionReplicator::ChangeCallback on_done);
 
-  /// Leaves the endpoint list, encoded as by encode_endpoint_list(), for the child, whose own may be as old
-  /// as its config file.
+  /// Writes the endpoint list, encoded by encode_endpoint_list(), for the child process, whose own list may
+  /// be as old as its config file.
   void write_endpoint_list(const std::string& text);
-  /// What the parent has left; empty if there is nothing.
+  /// The endpoint list that the parent process wrote; empty if there is none.
   std::optional<std::string> read_endpoint_list() const;
 
  private:
@@ -57,7 +58,7 @@
 
   EventLoop& event_loop_;
   Logger& logger_;
-  /// Empty: this process runs standalone.
+  /// Empty if this process runs standalone.
   std::optional<SharedDirectory> directory_;
   HotRestartPolicy policy_;
   EjectionReplicator ejection_replicator_;
--- a/src/hot_restart/hot_restart_policy.cpp
+++ b/src/hot_restart/hot_restart_policy.cpp
@@ -24,9 +24,9 @@
 }
 
 double HotRestartPolicy::limit_fraction() const {
-  // Two processes together may use no more than one alone, from the child's first moment on: the child starts
-  // with what the parent's reserve leaves over, a tenth, and gets its half when the parent has reduced its
-  // own use.
+  // From the start of the child process on, both processes together may use no more than one process alone.
+  // The child starts with a tenth, which the parent's reserve leaves free, and gets its half once the parent
+  // has reduced its own use.
   constexpr double full_fraction = 1;
   constexpr double paired_fraction = 0.5;
   constexpr double initial_child_fraction = 0.1;
