--- a/src/hot_restart/ejection_replicator.cpp
+++ b/src/hot_restart/ejection_replicator.cpp
@@ -8,10 +8,10 @@
 constexpr const char* ejection_file_name = "bans.json";
 constexpr const char* ejection_lock_name = "bans.lock";
 
-// An operator's request is answered within a second: a change that takes longer is undone and answered with
-// no.
+// An operator's request is answered within a second, so a change that takes longer than this is rolled back
+// and reported as failed.
 constexpr double change_timeout_ms = 700;
-// How often a change that waits for the other process is looked at.
+// Interval between attempts to complete a change that waits for the other process.
 constexpr double change_retry_interval_ms = 5;
 
 }  // namespace
@@ -72,10 +72,11 @@
   return ChangeStatus::failed;
 }
 
-// False if the change can't be written. While the other process holds the lock, nothing is applied.
+// False if the change can't be written. True without applying it if the lock can't be taken now; the call is
+// then repeated.
 bool EjectionReplicator::apply_first_change() {
-  // Both processes may be asked at once: what the file holds is changed under a lock, which is held for one
-  // reading and writing only.
+  // Both processes may change ejections at the same time, so the file is changed under a lock, which is held
+  // for a single read and write only.
   FileDescriptor lock;
   if (directory_) {
     lock = directory_->try_lock(ejection_lock_name);
@@ -104,7 +105,7 @@
   on_done(is_in_force);
 }
 
-// False if the record can't be written; then it is not in force here either.
+// False if the record can't be written, in which case it does not come into force in this process.
 bool EjectionReplicator::commit(const EjectionRecord& record) {
   if (directory_ && !directory_->write_file(ejection_file_name, encode(record))) return false;
   put_in_force(record);
--- a/src/hot_restart/ejection_replicator.h
+++ b/src/hot_restart/ejection_replicator.h
@@ -1,5 +1,6 @@
-/// Agreement of the processes of one sidecar on the endpoints that operators ejected. The agreed record lies
-/// in the shared directory and outlives the processes.
+/// \file
+/// Agreement between the processes of one sidecar on the endpoints that operators ejected. The agreed record
+/// is stored in the shared directory and outlives the processes.
 #pragma once
 
 #include <deque>
@@ -14,20 +15,23 @@
 
 namespace indigorill {
 
-/// Makes one change after the other: writes it to the shared directory, waits until it is in force in the
-/// other process as well, and rolls it back if that takes too long. All callbacks run in the event loop.
+/// Applies one change at a time: writes it to the shared directory, waits until it is in force in the other
+/// process too, and rolls it back if that takes too long. Callbacks are called from the event loop or from
+/// within a call of a member function.
 class EjectionReplicator {
  public:
   using Change = std::function<void(EjectionRecord&)>;
   using ChangeCallback = std::function<void(bool is_in_force)>;
   using RecordCallback = std::function<void(const EjectionRecord&)>;
 
-  /// `policy` gets each revision that comes into force here, and says what is in force in the other process.
-  /// `publish_record` tells the other process what the policy holds. All of them must outlive the replicator.
+  /// `policy` receives each revision that comes into force in this process, and knows which one is in force
+  /// in the other process. `publish_record` publishes the policy's own record to the other process. The
+  /// references must outlive the replicator.
   EjectionReplicator(EventLoop& event_loop, Logger& logger, HotRestartPolicy& policy,
                      EventLoop::Callback publish_record);
 
-  /// Reads what a process before this one left there. Without a call of it changes stay in this process.
+  /// Loads the ejections that an earlier process stored in the directory, and stores changes there from then
+  /// on. The directory must outlive the replicator. Without this call, changes stay in this process.
   void use_directory(const SharedDirectory& directory);
 
   /// `on_changed` is called with each record that comes into force from then on.
@@ -36,14 +40,14 @@
   /// The record that is in force in this process.
   const EjectionRecord& ejections() const { return ejections_; }
 
-  /// Takes over what the other process has written meanwhile.
+  /// Puts into force what the other process has written to the shared directory.
   void refresh();
 
-  /// Queues a change. `on_done` says whether it is in force in all processes of this sidecar; if not, it was
-  /// undone.
+  /// Queues a change. `on_done` is called with true once the change is in force in all processes of this
+  /// sidecar, and with false if it failed and was rolled back.
   void change(Change apply, ChangeCallback on_done);
 
-  /// Goes on with the queued changes as far as possible now, and by itself soon after while some are left.
+  /// Processes the queued changes as far as possible; while some are left, a timer repeats the call.
   void advance();
 
  private:
@@ -70,7 +74,8 @@
   EjectionRecord ejections_;
   std::deque<PendingChange> changes_;
   double first_change_started_at_ms_ = 0;
-  /// What was in force before the first change; empty until that change is applied here.
+  /// The record that was in force before the first queued change; empty until that change is applied in this
+  /// process.
   std::optional<EjectionRecord> previous_ejections_;
   EventLoop::Timer retry_timer_;
 };
