--- a/src/hot_restart/hot_restart_record.cpp
+++ b/src/hot_restart/hot_restart_record.cpp
@@ -10,7 +10,8 @@
 
 using nlohmann::json;
 
-// The number rises with each change of the format: files of other programs and versions are ignored.
+// The number at the end rises with each change of the format. Records of other programs and format versions
+// are ignored.
 constexpr const char* record_format = "indigorill-handover-1";
 
 constexpr const char* process_record_kind = "record";
--- a/src/hot_restart/shared_directory.cpp
+++ b/src/hot_restart/shared_directory.cpp
@@ -24,7 +24,7 @@
 std::string lock_file_name(int slot) { return slot_file_name(slot, ".lock"); }
 std::string record_file_name(int slot) { return slot_file_name(slot, ".json"); }
 
-// Sidecar names may be paths or addresses.
+// A sidecar's name may be a path or an address.
 std::string directory_name(std::string sidecar_name) {
   std::replace(sidecar_name.begin(), sidecar_name.end(), '/', '_');
   std::replace(sidecar_name.begin(), sidecar_name.end(), ':', '_');
@@ -42,8 +42,8 @@
   return lock;
 }
 
-// The lock belongs to the open file, not to the process: the kernel releases it with the last descriptor,
-// also when the process is killed.
+// The lock belongs to the open file, not to the process: the kernel releases it when the last descriptor of
+// the open file is closed, also when the process is killed.
 bool lock_file(const FileDescriptor& fd) {
   struct flock lock = whole_file_write_lock();
   return ::fcntl(fd.get(), F_OFD_SETLK, &lock) == 0;
@@ -91,7 +91,7 @@
 }
 
 bool SharedDirectory::write_file(const std::string& name, const std::string& text) const {
-  // Both processes may replace the same file at once, each by a temporary file of its own.
+  // Both processes may replace the same file at the same time, so each uses a temporary file of its own.
   const std::string temporary_path = file_path(name) + "-" + std::to_string(own_slot_);
   std::ofstream out(temporary_path, std::ios::binary | std::ios::trunc);
   out << text;
--- a/src/hot_restart/shared_directory.h
+++ b/src/hot_restart/shared_directory.h
@@ -1,8 +1,9 @@
-/// The directory that the two processes of one sidecar share during a hot restart: locks that tell which
-/// processes live, and small files that are replaced atomically.
+/// \file
+/// The directory that the two processes of one sidecar share during a hot restart. It holds locks that show
+/// which processes are alive, and small files that are replaced atomically.
 ///
-/// There are two slots, one for each process. A process lives as long as the kernel holds its lock on a slot,
-/// however it ends.
+/// There are two slots, one for each process. A process counts as alive while it holds the lock of a slot,
+/// which the kernel releases however the process ends.
 #pragma once
 
 #include <optional>
@@ -14,15 +15,15 @@
 
 namespace indigorill {
 
-/// No slot can be claimed: there is no parent directory, or two processes of this sidecar run already.
+/// No slot can be claimed: no parent directory is set, or two processes of this sidecar run already.
 struct SlotUnavailable : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 class SharedDirectory {
  public:
-  /// Creates `<parent>/indigorill-<sidecar name>` if it is missing and claims one of its slots, which is
-  /// released by the destructor. Throws SlotUnavailable, or std::system_error where the kernel refuses.
+  /// Creates `<parent>/indigorill-<sidecar name>` if it is missing and claims one of its slots, which the
+  /// destructor releases. Throws SlotUnavailable, or std::system_error if a system call fails.
   SharedDirectory(const std::string& parent, const std::string& sidecar_name);
 
   const std::string& path() const { return path_; }
@@ -31,15 +32,15 @@
 
   /// Publishes this process's record; false if it can't be written.
   bool write_own_record(const ProcessRecord& record) const;
-  /// Empty if there is none or it can't be decoded.
+  /// The other process's record; empty if there is none or it can't be decoded.
   std::optional<ProcessRecord> read_other_record() const;
 
-  /// Replaces the file, so that no reader sees half of it; false if it can't be written.
+  /// Replaces the file atomically, so that no reader sees a part of it; false if it can't be written.
   bool write_file(const std::string& name, const std::string& text) const;
-  /// Empty if the file can't be opened.
+  /// Content of the file; empty if it can't be opened.
   std::optional<std::string> read_file(const std::string& name) const;
-  /// Holds the lock of this name until the descriptor is closed; an invalid descriptor if it is held
-  /// elsewhere or its file can't be opened. Doesn't wait.
+  /// Takes the lock of this name without waiting and holds it until the returned descriptor is closed. The
+  /// descriptor is invalid if the lock is held elsewhere or its file can't be opened.
   FileDescriptor try_lock(const std::string& name) const;
 
  private:
