--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -8,14 +8,14 @@
 namespace indigorill {
 namespace {
 
-// The body of a request is of no use; a little may come.
+// Bodies of admin requests are ignored; those up to this size are accepted.
 constexpr std::size_t max_request_bytes = 4096;
 
-// For a client that doesn't read its response, or doesn't close the connection after it.
+// Limits how long a client may take to read its response and then close the connection.
 constexpr double response_timeout_ms = 1000;
 
-// The listener's watch is edge-triggered: after its event a backlog that is left is looked at again by a
-// timer.
+// The listener's watch is edge-triggered: it does not report connections that are left in the backlog again,
+// so a timer retries accepting them.
 constexpr double accept_retry_interval_ms = 5;
 
 constexpr int first_error_status = 300;
@@ -99,7 +99,7 @@
   handle_events(id);
 }
 
-// A client that holds a connection without a complete request must not shut out one that sends a request.
+// A client that holds a connection without a complete request must not keep out one that sends a request.
 bool AdminServer::evict_idle_connection() {
   if (evictable_.empty()) return false;
   close(*connections_.at(evictable_.begin()->connection_id));
@@ -145,8 +145,8 @@
   }
 }
 
-// The client has sent its request. If it closes the connection while that is carried out, the request goes on
-// and its response is dropped.
+// Discards what the client sends after its request. If the client closes the connection while the request is
+// handled, handling goes on and the response is dropped.
 void AdminServer::discard_input(Connection& connection) {
   using ReadStatus = TcpStream::ReadStatus;
   const ReadStatus status = connection.stream->discard();
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,6 +1,7 @@
-/// The HTTP server on the admin address, where operators ask for this process's state and eject endpoints by
-/// hand. It has a listener and file descriptors of its own, so that no number of clients shuts operators out;
-/// no RPCs pass through it.
+/// \file
+/// The HTTP server on the admin address, where operators query this process's state and eject endpoints
+/// manually. It has a listener and file descriptors of its own, so that operators can connect whatever the
+/// number of the sidecar's clients; no RPCs pass through it.
 #pragma once
 
 #include <cstdint>
@@ -23,12 +24,12 @@
 /// Serves one request on each connection, then closes it.
 class AdminServer {
  public:
-  /// `json`: the body where the request is a query; empty where the status says all.
+  /// `json`: the response body of a query; if it is empty, the response has a default text for the status.
   using ResponseCallback = std::function<void(int status, std::string json)>;
-  /// Carries out a well-formed request and calls back with the result, at once or later.
+  /// Handles a valid request and calls back with the result, at once or later.
   using RequestHandler = std::function<void(const AdminRequest&, ResponseCallback)>;
 
-  /// For the listener and the connections: what the process has to set aside for them.
+  /// Number of descriptors that the process has to reserve for the listener and the connections.
   static constexpr std::size_t reserved_descriptors = 13;
 
   /// The event loop and the counters must outlive the server.
@@ -39,12 +40,12 @@
 
   /// Throws std::system_error if the address can't be listened on.
   void listen(const sockaddr_in& address) { adopt_listener(open_listener(address)); }
-  /// `listener`: one that listens already.
+  /// `listener`: a socket that is already listening.
   void adopt_listener(FileDescriptor listener);
 
  private:
   struct Connection;
-  /// Connections are evicted in this order: the answered ones first, then the one silent for longest.
+  /// Eviction order: answered connections first; within each group, the one that has been silent for longest.
   struct EvictionKey {
     bool is_unanswered;
     double last_received_ms;
--- a/src/ejection/manual_ejection.h
+++ b/src/ejection/manual_ejection.h
@@ -1,5 +1,6 @@
-/// Endpoints that operators ejected by hand: which ids are known, and which of them are ejected. No I/O, no
-/// clock.
+/// \file
+/// The endpoints that operators ejected manually: which ids are known, and which of them are ejected. No I/O,
+/// no clock.
 #pragma once
 
 #include <set>
@@ -10,15 +11,15 @@
 
 namespace indigorill {
 
-/// A set, not a count: two ejections of an endpoint need one restoration. An id is known while the endpoint
-/// list has it or it is ejected, so that an endpoint that left the list in the meantime can still be
-/// restored, and stays ejected if it returns to the list before that.
+/// Ejections are a set, not a count: one restoration ends any number of ejections of an endpoint. An id is
+/// known while it is in the endpoint list or ejected, so that an endpoint that has left the list can still be
+/// restored, and stays ejected if it returns to the list before it is restored.
 class ManualEjections {
  public:
   using EndpointIds = std::set<std::string, std::less<>>;
 
-  /// Follows the endpoint list. `is_complete`: `present` are all endpoints there are; else changes to those
-  /// known.
+  /// Applies an update of the endpoint list. If `is_complete`, `present` holds all endpoints of the list;
+  /// otherwise `present` and `removed` are changes to the known list.
   void update_endpoints(bool is_complete, const std::vector<std::string>& present,
                         const std::vector<std::string>& removed);
 
@@ -26,7 +27,7 @@
   bool is_ejected(std::string_view id) const { return ejected_.contains(id); }
   const EndpointIds& ejected() const { return ejected_; }
 
-  /// Takes over the ejections that all processes of this sidecar have agreed on.
+  /// Replaces the ejected ids by those on which all processes of this sidecar have agreed.
   void replace_ejected(EndpointIds ids) { ejected_ = std::move(ids); }
 
  private:
