--- a/tests/discovery_client_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list: polls, the watch that is kept open, and what can go wrong.
+// Polls of the endpoint list, the watch that is kept open, and failures of both.
 #include "discovery/discovery_client.h"
 
 #include <doctest/doctest.h>
@@ -10,69 +10,99 @@
 
 namespace host {
 
-TEST_CASE("the list: the whole, then a watch that is kept open, through all that can go wrong") {
-  const std::string whole = endpoint_list_response(9, true, instance_json("a") + "," + instance_json("b"));
-  const std::string change = endpoint_list_response(10, false, instance_json("b", "draining"));
-  const std::string none = endpoint_list_response(10, false, "");
-  const std::string older = endpoint_list_response(8, false, instance_json("b"));
-  const std::string anew = endpoint_list_response(2, true, instance_json("c"));
-  // Only an agent that just answered is asked to wait.
-  const std::string first = "/api/targets";
-  const std::string watch9 = first + "?index=9&wait=2000";
-  const std::string watch10 = first + "?index=10&wait=2000";
-  const std::string at_once9 = first + "?index=9&wait=1";
-  const std::string watch2 = first + "?index=2&wait=2000";
+TEST_CASE(
+    "discovery client: requests the complete list, then keeps a watch open and recovers from failures") {
+  const std::string complete_list =
+      endpoint_list_response(9, true, instance_json("a") + "," + instance_json("b"));
+  const std::string changes = endpoint_list_response(10, false, instance_json("b", "draining"));
+  const std::string no_changes = endpoint_list_response(10, false, "");
+  const std::string older_changes = endpoint_list_response(8, false, instance_json("b"));
+  const std::string restarted_list = endpoint_list_response(2, true, instance_json("c"));
+  // The client asks an agent to wait only if the agent answered the previous poll.
+  const std::string complete_target = "/api/targets";
+  const std::string watch_target_9 = complete_target + "?index=9&wait=2000";
+  const std::string watch_target_10 = complete_target + "?index=10&wait=2000";
+  const std::string prompt_target_9 = complete_target + "?index=9&wait=1";
+  const std::string watch_target_2 = complete_target + "?index=2&wait=2000";
   struct {
-    const char* what;
-    std::vector<std::string> script, asked;
-    std::string heard;
+    const char* name;
+    std::vector<std::string> responses, expected_targets;
+    std::string expected_updates;
   } table[] = {
-      {"changes", {whole, change, none}, {first, watch9, watch10, watch10}, "=9ab+10b+10"},
-      {"a broken connection", {whole, "close", change}, {first, watch9, at_once9, watch10}, "=9ab+10b"},
-      {"a last answer on a connection",
+      {"changes and a watch without changes",
+       {complete_list, changes, no_changes},
+       {complete_target, watch_target_9, watch_target_10, watch_target_10},
+       "=9ab+10b+10"},
+      {"a connection that the agent closes",
+       {complete_list, "close", changes},
+       {complete_target, watch_target_9, prompt_target_9, watch_target_10},
+       "=9ab+10b"},
+      {"a response with Connection: close",
        {response_text(200, R"({"generation":9,"reset":true,"instances":[]})", "Connection: close\r\n"),
-        change},
-       {first, watch9, watch10},
+        changes},
+       {complete_target, watch_target_9, watch_target_10},
        "=9+10b"},
 
-      {"no JSON", {whole, response_text(200, "{"), whole}, {first, watch9, first, watch9}, "=9ab=9ab"},
-      {"no list", {whole, response_text(200, "{}"), whole}, {first, watch9, first, watch9}, "=9ab=9ab"},
-      {"an unknown word",
-       {whole, endpoint_list_response(10, false, instance_json("a", "odd")), whole},
-       {first, watch9, first, watch9},
+      {"a body that is not JSON",
+       {complete_list, response_text(200, "{"), complete_list},
+       {complete_target, watch_target_9, complete_target, watch_target_9},
        "=9ab=9ab"},
-      {"an error", {whole, response_text(500, ""), change}, {first, watch9, at_once9, watch10}, "=9ab+10b"},
-      {"no HTTP", {"rubbish\r\n\r\n", whole}, {first, first, watch9}, "=9ab"},
-      {"changes of an older list", {whole, older, whole}, {first, watch9, first, watch9}, "=9ab=9ab"},
-      {"changes where the whole was asked for", {change, whole}, {first, first, watch9}, "=9ab"},
-      {"an agent that began anew", {whole, anew}, {first, watch9, watch2}, "=9ab=2c"},
+      {"a body that is not an endpoint list",
+       {complete_list, response_text(200, "{}"), complete_list},
+       {complete_target, watch_target_9, complete_target, watch_target_9},
+       "=9ab=9ab"},
+      {"an unknown lifecycle value",
+       {complete_list, endpoint_list_response(10, false, instance_json("a", "odd")), complete_list},
+       {complete_target, watch_target_9, complete_target, watch_target_9},
+       "=9ab=9ab"},
+      {"an error status",
+       {complete_list, response_text(500, ""), changes},
+       {complete_target, watch_target_9, prompt_target_9, watch_target_10},
+       "=9ab+10b"},
+      {"a response that is not HTTP",
+       {"rubbish\r\n\r\n", complete_list},
+       {complete_target, complete_target, watch_target_9},
+       "=9ab"},
+      {"changes of an older list",
+       {complete_list, older_changes, complete_list},
+       {complete_target, watch_target_9, complete_target, watch_target_9},
+       "=9ab=9ab"},
+      {"changes in response to a request for the complete list",
+       {changes, complete_list},
+       {complete_target, complete_target, watch_target_9},
+       "=9ab"},
+      {"an agent whose versions start over",
+       {complete_list, restarted_list},
+       {complete_target, watch_target_9, watch_target_2},
+       "=9ab=2c"},
   };
   for (const auto& row : table) {
-    CAPTURE(std::string(row.what));
+    CAPTURE(std::string(row.name));
     DiscoveryHarness discovery;
-    FakeServer agent(discovery.loop, row.script);
+    FakeServer agent(discovery.loop, row.responses);
     discovery.start(agent.address, true);
-    CHECK(run_until(discovery.loop, [&] { return agent.request_targets.size() >= row.asked.size(); }));
-    CHECK(agent.request_targets == row.asked);
-    CHECK(discovery.updates == row.heard);
+    CHECK(run_until(discovery.loop,
+                    [&] { return agent.request_targets.size() >= row.expected_targets.size(); }));
+    CHECK(agent.request_targets == row.expected_targets);
+    CHECK(discovery.updates == row.expected_updates);
     CHECK(discovery.failure_count == 0);
   }
 }
 
-TEST_CASE("a list known from before is watched from its version; another agent is asked for the whole") {
+TEST_CASE("discovery client: polls from a known version and requests the complete list from another agent") {
   DiscoveryHarness discovery;
-  FakeServer before(discovery.loop, {endpoint_list_response(9, false, instance_json("b"))});
-  FakeServer after(discovery.loop, {endpoint_list_response(3, true, "")});
-  discovery.start(before.address, true, 8);
-  CHECK(run_until(discovery.loop, [&] { return before.request_targets.size() == 2; }));
-  CHECK(before.request_targets[0] == "/api/targets?index=8&wait=1");
-  discovery.client->switch_agent(after.address, "after");
-  CHECK(run_until(discovery.loop, [&] { return !after.request_targets.empty(); }));
-  CHECK(after.request_targets[0] == "/api/targets");
+  FakeServer former_agent(discovery.loop, {endpoint_list_response(9, false, instance_json("b"))});
+  FakeServer new_agent(discovery.loop, {endpoint_list_response(3, true, "")});
+  discovery.start(former_agent.address, true, 8);
+  CHECK(run_until(discovery.loop, [&] { return former_agent.request_targets.size() == 2; }));
+  CHECK(former_agent.request_targets[0] == "/api/targets?index=8&wait=1");
+  discovery.client->switch_agent(new_agent.address, "new-agent");
+  CHECK(run_until(discovery.loop, [&] { return !new_agent.request_targets.empty(); }));
+  CHECK(new_agent.request_targets[0] == "/api/targets");
   CHECK(discovery.updates == "+9b");
 }
 
-TEST_CASE("where the balancer asks for the list, a failure is told to it and nothing is asked again") {
+TEST_CASE("discovery client: reports a failed poll and does not repeat it without continuous polling") {
   DiscoveryHarness discovery;
   FakeServer agent(discovery.loop, {"close"});
   discovery.start(agent.address, false);
@@ -81,26 +111,28 @@
   CHECK(agent.request_targets.size() == 1);
 }
 
-TEST_CASE("an agent that doesn't wait is not asked without pause") {
+TEST_CASE("discovery client: pauses between polls of an agent that answers without waiting") {
   DiscoveryHarness discovery;
-  std::vector<std::string> script{endpoint_list_response(9, true, instance_json("a"))};
-  script.resize(1000, endpoint_list_response(9, false, ""));
-  FakeServer agent(discovery.loop, script);
+  std::vector<std::string> responses_without_wait{endpoint_list_response(9, true, instance_json("a"))};
+  responses_without_wait.resize(1000, endpoint_list_response(9, false, ""));
+  FakeServer agent(discovery.loop, responses_without_wait);
   discovery.start(agent.address, true);
   run_for(discovery.loop, 150);
   CHECK(agent.request_targets.size() >= 2);
   CHECK(agent.request_targets.size() <= 4);
 }
 
-TEST_CASE("a list that can't be reached is asked for again within the grace, and its silence said once") {
+TEST_CASE(
+    "discovery client: polls an unreachable agent again within the drain grace and logs the failure once") {
   DiscoveryHarness discovery;
-  discovery.start(local_address(listen_on_loopback()), true);  // closed again
-  const double began = discovery.loop.now();
+  discovery.start(local_address(listen_on_loopback()), true);  // the listener is closed: connects are refused
+  const double started_at_ms = discovery.loop.now();
   CHECK(run_until(discovery.loop, [&] { return discovery.counters.endpoint_poll_failures == 8; }));
-  // What it tells when it is back counts at once: the waits must not grow past a part of the grace of 500.
-  CHECK(discovery.loop.now() - began < 8 * 150);
+  // A change that the agent has counts as known as soon as the agent is reachable again, so the delay before
+  // a retry must not grow beyond a fraction of the drain grace of 500 ms.
+  CHECK(discovery.loop.now() - started_at_ms < 8 * 150);
   CHECK(discovery.log_text.str().find("no connection") ==
-        discovery.log_text.str().rfind("no connection"));  // one line
+        discovery.log_text.str().rfind("no connection"));  // logged once
 }
 
 }  // namespace host
--- a/tests/slow_discovery_test.cpp
+++ b/tests/slow_discovery_test.cpp
@@ -1,22 +1,20 @@
-// A discovery service that is slow and steady: each poll is answered, whole and late.
+// A discovery service that answers each poll completely, but late.
 //
-// What happens: the sidecar never had a list, however long the service went on answering. Its endpoint list
-// stayed that of its start, so draining endpoints went on getting attempts, and new ones got none.
+// Guards against a sidecar that never applies a list from such a service: the list of its start stays in
+// force, so draining endpoints go on getting attempts, and new ones get none. This happened while each poll
+// was abandoned and its connection closed after a fixed timeout (a quarter of the drain grace, 250 ms at
+// most, with continuous polling; 1.5 s where the load balancer schedules polls). A response that took longer
+// than the timeout never arrived, and the service worked on abandoned polls.
 //
-// Why: each poll was given up after a fixed time (a quarter of the drain grace, 250 ms at most, where lists
-// are pushed; 1.5 s where they are polled), its connection was closed, and the next one began from nothing.
-// An answer that takes longer than that time could never arrive, and the service worked on polls that nobody
-// waited for.
+// Measured then with a server that answers each poll after a fixed delay: with a drain grace of 1,000 ms, a
+// list that was sent after 200 ms was in force after 0.21 s, and one sent after 300 ms was not in force
+// within 10 s, with 23 polls abandoned; with a grace of 300 ms, a delay of 50 ms worked and 100 ms did not,
+// with 75 polls abandoned. Where the load balancer schedules polls, 1.4 s worked and 2 s did not, with 5
+// polls abandoned. The log repeated "endpoint list: poll failed after 250 ms: response timed out" and had no
+// other line about the list.
 //
-// What showed it, against a stand-in that answers each poll after a fixed time: at a grace of 1,000 ms an
-// answer after 200 ms is in force after 0.21 s, one after 300 ms is not in force in 10 s, with 23 polls given
-// up; at a grace of 300 ms 50 ms work and 100 ms don't, with 75 polls. Polled, 1.4 s work and 2 s don't, with
-// 5 polls. The log repeats "endpoint list: poll failed after 250 ms: response timed out" and has no other
-// line of the list.
-//
-// Cause and mend: `DiscoveryClient` closed a poll's connection when its time had passed. It stays open now,
-// one at most beside the next poll, and the first valid list counts, so that a list needs no more than its
-// service takes.
+// Now `DiscoveryClient` keeps at most one overdue poll open beside the next poll and applies the first valid
+// list, so a list is in force as soon as the service has sent it.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -30,37 +28,37 @@
 
 namespace {
 
-// A change counts as known to the sidecar this long after discovery had it and could be reached.
+// Time after which a change counts as known to the sidecar, once discovery has the change and is reachable.
 constexpr double update_deadline_ms = 6000;
 
 struct SlowService {
   double drain_grace_ms = 0;
   double response_delay_ms = 0;
-  bool is_polled = false;
+  bool balancer_schedules_polls = false;
 
   DiscoveryHarness harness;
   std::unique_ptr<FakeServer> service;
   double listed_at_ms = -1;
   double updated_after_ms = -1;
 
-  SlowService(double grace_ms, double delay_ms, bool polled)
-      : drain_grace_ms(grace_ms), response_delay_ms(delay_ms), is_polled(polled) {}
+  SlowService(double grace_ms, double delay_ms, bool schedules_polls)
+      : drain_grace_ms(grace_ms), response_delay_ms(delay_ms), balancer_schedules_polls(schedules_polls) {}
 
   void start(const std::vector<std::string>& responses) {
     harness.grace_ms = drain_grace_ms;
     service = std::make_unique<FakeServer>(harness.loop, responses);
     service->response_delay_ms = response_delay_ms;
-    harness.start(service->address, !is_polled);
+    harness.start(service->address, !balancer_schedules_polls);
   }
-  // What was received before keeps the answer that it has, or has none.
-  void answer_from_now_on(const std::string& response) const {
+  // Requests received before keep the responses that they got; those without one get none.
+  void respond_from_now_on(const std::string& response) const {
     service->responses.resize(service->request_targets.size(), "silent");
     service->responses.resize(service->responses.size() + 1000, response);
   }
-  // Where lists are polled, the load balancer asks again after a failure; here it does at once.
+  // Where the load balancer schedules polls, it polls again after a failure; this stand-in does so at once.
   void run_once() {
     harness.loop.run_once(0);
-    if (is_polled && harness.failure_count > 0) {
+    if (balancer_schedules_polls && harness.failure_count > 0) {
       harness.failure_count = 0;
       harness.client->poll();
     }
@@ -96,7 +94,7 @@
   for (const auto& service : services) {
     CAPTURE(service->drain_grace_ms);
     CAPTURE(service->response_delay_ms);
-    CAPTURE(service->is_polled);
+    CAPTURE(service->balancer_schedules_polls);
     CAPTURE(service->service->request_targets.size());
     CHECK(service->updated_after_ms >= 0);
     CHECK(service->updated_after_ms < service->response_delay_ms + extra_ms);
@@ -105,14 +103,14 @@
 
 }  // namespace
 
-TEST_CASE("a list whose service is slow and steady is in force when its first answer has come") {
+TEST_CASE("slow discovery: a list is in force as soon as its first response has arrived") {
   SlowServices services = slow_services();
   for (auto& service : services) service->start(std::vector<std::string>(1000, list_version_9));
   run_until_updates(services, "=9ab", now_ms(services) + update_deadline_ms);
-  check_updated_within(services, 150);  // for a process that waits for its core
+  check_updated_within(services, 150);  // for a process that waits for a CPU core
 }
 
-TEST_CASE("a change at a service that is slow and steady is in force 6 s after the list before it") {
+TEST_CASE("slow discovery: a change is in force within 6 s after the list before it") {
   SlowServices services = slow_services();
   for (auto& service : services) service->start(std::vector<std::string>(1000, list_version_9));
   const double until_ms = now_ms(services) + 2 * update_deadline_ms;
@@ -121,7 +119,7 @@
       service->run_once();
       if (service->listed_at_ms < 0 && service->harness.updates.starts_with("=9ab")) {
         service->listed_at_ms = now_ms(services);
-        service->answer_from_now_on(draining_version_10);
+        service->respond_from_now_on(draining_version_10);
       }
       if (service->updated_after_ms < 0 && service->harness.updates.find("+10b") != std::string::npos)
         service->updated_after_ms = now_ms(services) - service->listed_at_ms;
@@ -129,14 +127,13 @@
   for (const auto& service : services) {
     CAPTURE(service->drain_grace_ms);
     CAPTURE(service->response_delay_ms);
-    CAPTURE(service->is_polled);
+    CAPTURE(service->balancer_schedules_polls);
     CHECK(service->updated_after_ms >= 0);
     CHECK(service->updated_after_ms < update_deadline_ms);
   }
 }
 
-TEST_CASE(
-    "a service that was silent and is slow when it is back: its list is in force 6 s after the return") {
+TEST_CASE("slow discovery: a list is in force within 6 s after a silent service starts to respond") {
   constexpr double outage_ms = 2000;
   SlowServices services;
   for (const double delay_ms : {300.0, 1000.0, 2500.0})
@@ -148,13 +145,13 @@
   run_until_updates(services, "=9ab", now_ms(services) + outage_ms);
   for (auto& service : services) {
     CHECK(service->harness.updates.empty());
-    service->answer_from_now_on(list_version_9);
+    service->respond_from_now_on(list_version_9);
   }
   run_until_updates(services, "=9ab", now_ms(services) + update_deadline_ms);
   for (const auto& service : services) {
     CAPTURE(service->drain_grace_ms);
     CAPTURE(service->response_delay_ms);
-    CAPTURE(service->is_polled);
+    CAPTURE(service->balancer_schedules_polls);
     CHECK(service->updated_after_ms >= 0);
   }
 }
