--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,5 +1,5 @@
 /// Hot restart: the policy, the records, and the files and locks that the two processes of one sidecar share;
-/// last, two real processes through an upgrade.
+/// at the end, upgrades with two real processes.
 #include "hot_restart/hot_restart.h"
 
 #include <doctest/doctest.h>
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-TEST_CASE("hot restart policy: what a parent and a child do, by the other process's record") {
+TEST_CASE("hot restart policy: the other process's record decides what a parent and a child do") {
   struct {
     const char* name;
     ProcessRecord own;
@@ -58,7 +58,7 @@
     double limit_fraction;
   } table[] = {
       {"alone", make_record(1, serving), {}, false, true, false, true, 1},
-      {"alone, not yet told to serve", make_record(1, starting), {}, false, false, false, true, 1},
+      {"alone, still starting", make_record(1, starting), {}, false, false, false, true, 1},
       {"parent of a child that starts", make_record(1, serving), make_record(2, starting), true, true, false,
        true, 0.5},
       {"parent of a child whose record can't be read yet",
@@ -72,8 +72,8 @@
       {"parent of a child that serves", make_record(1, serving), make_record(2, serving), true, false, true,
        true, 0.5},
       {"draining parent", make_record(1, draining), make_record(2, serving), true, false, true, true, 0.5},
-      {"parent that drains too soon", make_record(1, draining), make_record(2, starting), true, true, false,
-       true, 0.5},
+      {"parent that drains before its child serves", make_record(1, draining), make_record(2, starting), true,
+       true, false, true, 0.5},
       {"parent whose child died", make_record(1, serving), make_record(2, serving), false, true, false, true,
        1},
       {"child, limits not yet reduced", make_record(2, starting), make_record(1, serving), true, false, false,
@@ -83,7 +83,7 @@
        true, 0.5},
       {"child that serves", make_record(2, serving), make_record(1, serving, true), true, true, false, true,
        0.5},
-      {"child whose parent is gone", make_record(2, serving), {}, false, true, false, true, 1},
+      {"child whose parent has ended", make_record(2, serving), {}, false, true, false, true, 1},
   };
   for (const auto& row : table) {
     CAPTURE(std::string(row.name));
@@ -97,7 +97,7 @@
   }
 }
 
-TEST_CASE("hot restart policy: two processes never exceed the limits, and one of them always accepts") {
+TEST_CASE("hot restart policy: two processes never exceed the limits and one of them always accepts") {
   for (const auto parent_state : {starting, serving, draining})
     for (const auto child_state : {starting, serving, draining})
       for (const bool limits_reduced : {false, true}) {
@@ -139,8 +139,8 @@
 
 namespace {
 
-/// One process's view of the shared directory. Locks belong to open files, so two of these in one process
-/// exclude each other as two processes do.
+/// One process's access to the shared directory. The locks belong to open files, so two of these objects in
+/// one process exclude each other as two processes do.
 struct RestartingProcess {
   std::ostringstream log_text;
   Logger log{log_text, LogLevel::debug};
@@ -152,14 +152,14 @@
     hot_restart->start([] {}, [this](const EjectionRecord& record) { ejection_updates.push_back(record); });
   }
 
-  bool has_heard_of_ejection(const std::string& endpoint_id) const {
+  bool has_ejection_in_force(const std::string& endpoint_id) const {
     return !ejection_updates.empty() && ejection_updates.back().ejected.contains(endpoint_id);
   }
 };
 
 }  // namespace
 
-TEST_CASE("an ejection is in force in both processes before it is confirmed, and outlives either") {
+TEST_CASE("an ejection is in force in both processes before it is confirmed and outlives both") {
   EventLoop event_loop;
   TemporaryDirectory directory;
   RestartingProcess parent(event_loop, directory.path);
@@ -172,11 +172,11 @@
   child.hot_restart->change_ejections([](EjectionRecord& record) { record.ejected.insert("a"); },
                                       [&](bool is_in_force) {
                                         child_done = is_in_force;
-                                        CHECK(parent.has_heard_of_ejection("a"));
-                                        CHECK(child.has_heard_of_ejection("a"));
+                                        CHECK(parent.has_ejection_in_force("a"));
+                                        CHECK(child.has_ejection_in_force("a"));
                                       });
   REQUIRE(run_until(event_loop, [&] { return child_done; }));
-  // Both are asked at once.
+  // Both processes change ejections at the same time.
   bool parent_done = false;
   child_done = false;
   parent.hot_restart->change_ejections([](EjectionRecord& record) { record.ejected.insert("b"); },
@@ -195,7 +195,7 @@
   CHECK_FALSE(next.hot_restart->policy().is_paired());
 }
 
-TEST_CASE("an ejection that the other process doesn't take over in time fails and is rolled back") {
+TEST_CASE("an ejection that the other process doesn't apply in time fails and is rolled back") {
   EventLoop event_loop;
   EventLoop stalled_loop;
   TemporaryDirectory directory;
@@ -212,7 +212,7 @@
   CHECK(parent.hot_restart->ejections().ejected.empty());
 }
 
-TEST_CASE("without a shared directory, or beside two others, a process runs standalone and logs it") {
+TEST_CASE("a process without a shared directory or a free slot runs standalone and logs it") {
   EventLoop event_loop;
   TemporaryDirectory directory;
   RestartingProcess without_directory(event_loop, "");
@@ -233,7 +233,7 @@
 
 namespace {
 
-/// A sidecar in a process of its own, on a listener that the test holds.
+/// A sidecar in a process of its own, with a listener that the test opened.
 struct SidecarProcess {
   pid_t pid = -1;
   sockaddr_in admin_address = local_address(listen_on_loopback());
@@ -258,8 +258,8 @@
   SidecarProcess(const SidecarProcess&) = delete;
   SidecarProcess& operator=(const SidecarProcess&) = delete;
 
-  /// True if it exited by itself and without error. `step` keeps the test's side going meanwhile, as requests
-  /// in flight would not end otherwise.
+  /// Sends the signal; true if the process then exits normally and without error. `step` runs the test's
+  /// clients meanwhile, since requests in flight would not end otherwise.
   bool stop_with_signal(int signal, EventLoop& event_loop, const std::function<void()>& step) {
     ::kill(pid, signal);
     int status = -1;
@@ -305,7 +305,7 @@
   }
 };
 
-/// A client that sends one request after the other, and what it got.
+/// A client that sends one request after another and counts the outcomes.
 struct ClientApplication {
   EventLoop& event_loop;
   FileDescriptorBudget& budget;
@@ -325,7 +325,7 @@
   }
 
   void reconnect() {
-    constexpr double pause_ms = 4;  // the scripts of the fake servers must not run out
+    constexpr double pause_ms = 4;  // limits the requests, so that the fake servers' responses suffice
     unanswered += is_waiting ? 1 : 0;
     is_waiting = false;
     connection = std::make_unique<TestConnection>(event_loop, budget, start_connect(sidecar_address),
@@ -355,7 +355,7 @@
   const std::vector<std::string> responses = std::vector<std::string>(20000, response_text(200, "served"));
   FakeServer endpoint_a{event_loop, responses};
   FakeServer endpoint_b{event_loop, responses};
-  // Silent after its first response: a child process needs no endpoint list from it.
+  // Silent after its first response: the child process uses the endpoint list of its parent.
   FakeServer agent{event_loop, {response_text(200, endpoint_list())}};
   const FileDescriptor listener = listen_on_loopback();
   std::vector<std::unique_ptr<ClientApplication>> clients;
@@ -392,7 +392,8 @@
     });
   }
 
-  /// The status of the admin server's response; asks again while that is 503.
+  /// Status of the admin server's response; repeats the request while there is no response or the status is
+  /// 503.
   int admin_request(const SidecarProcess& process, const std::string& request_line) {
     int status = 0;
     run_until(event_loop, [&] {
@@ -424,12 +425,13 @@
 
 }  // namespace
 
-TEST_CASE("two real processes serve as one sidecar through an upgrade, whichever ends and however") {
+TEST_CASE(
+    "an upgrade with two real processes keeps serving and keeps ejections when one is stopped or killed") {
   struct {
     const char* name;
     bool parent_ends;
     int signal;
-  } table[] = {{"the parent is told to stop", true, SIGTERM},
+  } table[] = {{"the parent is stopped", true, SIGTERM},
                {"the parent is killed", true, SIGKILL},
                {"the child is killed", false, SIGKILL}};
   for (const auto& row : table) {
@@ -439,7 +441,7 @@
     REQUIRE(scenario.admin_request(scenario.parent, "GET /status") == 200);
     scenario.start_clients(8);
     REQUIRE(scenario.serve_requests(100));
-    CHECK(scenario.admin_request(scenario.parent, "PUT /maintenance/enter?host=nobody") == 404);
+    CHECK(scenario.admin_request(scenario.parent, "PUT /maintenance/enter?host=unknown") == 404);
     scenario.start_child();
     REQUIRE(scenario.admin_request(*scenario.child, "GET /status") == 200);
     REQUIRE(scenario.serve_requests(100));
@@ -449,11 +451,11 @@
     const auto& requests_to_a = scenario.endpoint_a.request_targets;
     const std::size_t requests_before_ejection = requests_to_a.size();
     REQUIRE(scenario.serve_requests(200));
-    CHECK(scenario.unanswered_count() == 0);  // until a process is killed
+    CHECK(scenario.unanswered_count() == 0);  // no process has been stopped or killed so far
     CHECK(ending.stop_with_signal(row.signal, scenario.event_loop, step) == (row.signal == SIGTERM));
     REQUIRE(scenario.serve_requests(200));
-    CHECK(requests_to_a.size() ==
-          requests_before_ejection);  // the ejection outlives the process asked for it
+    // The ejection outlives the process that received the request.
+    CHECK(requests_to_a.size() == requests_before_ejection);
     REQUIRE(scenario.admin_request(remaining, "PUT /maintenance/exit?host=a") == 200);
     REQUIRE(scenario.run_steps_until([&] { return requests_to_a.size() > requests_before_ejection; }));
     CHECK(scenario.peak_descriptors <= UpgradeScenario::max_descriptors);
--- a/tests/manual_ejection_test.cpp
+++ b/tests/manual_ejection_test.cpp
@@ -1,5 +1,4 @@
-/// Manual ejections: the set, what the load balancer and the upstream pool make of them, and the admin
-/// server.
+/// Manual ejections: the set, their effect on the load balancer and the upstream pool, and the admin server.
 #include "ejection/manual_ejection.h"
 
 #include <doctest/doctest.h>
@@ -60,7 +59,7 @@
     change([&](EjectionRecord& record) { restore_endpoint(record, id, 0); });
     ejected.erase(id);
   }
-  /// Another process takes over the list and the ejections.
+  /// Another process starts with the list and the ejections of this one.
   void restart() {
     ManualEjections next;
     next.replace_ejected(ejections.ejected());
@@ -98,7 +97,7 @@
   }
 };
 
-/// How many of so many RPCs, 20 ms apart, are sent to this endpoint.
+/// Number of attempts that are sent to this endpoint for `rpc_count` RPCs, which arrive 20 ms apart.
 int count_attempts(LoadBalancerHarness& harness, const std::string& endpoint_id, int rpc_count) {
   int count = 0;
   for (int i = 0; i < rpc_count; ++i) {
@@ -117,7 +116,7 @@
 
 }  // namespace
 
-TEST_CASE("manual ejections agree with a model over random requests, endpoint lists and restarts") {
+TEST_CASE("manual ejections agree with a model over random requests and endpoint lists and restarts") {
   std::knuth_b random(7);
   for (int run = 0; run < 50; ++run) {
     EjectionModel model{random, {}, {}, {}};
@@ -129,8 +128,7 @@
   CHECK(ids_missing_from({"a", "b"}, {"b", "c"}) == std::vector<std::string>{"c"});
 }
 
-TEST_CASE(
-    "the load balancer sends nothing to an ejected endpoint, whatever the list says, until it is restored") {
+TEST_CASE("an ejected endpoint gets no attempts before its restoration whatever the endpoint list says") {
   LoadBalancerHarness harness;
   LoadBalancer& load_balancer = harness.load_balancer;
   harness.update_endpoints(make_endpoints('a', 'b'));
@@ -144,16 +142,15 @@
   harness.update_endpoints({make_endpoint("a", harness.now), make_endpoint("b")});
   CHECK(count_attempts(harness, "a", 100) == 0);
   load_balancer.set_ejected_manually(harness.now, "a", false, harness.now);
-  harness.update_endpoints(
-      {make_endpoint("a", 1), make_endpoint("b")});  // with the start before the ejection
+  harness.update_endpoints({make_endpoint("a", 1), make_endpoint("b")});  // started before the ejection
   const int attempts_in_slow_start = count_attempts(harness, "a", 200);
   CHECK(attempts_in_slow_start > 0);  // within 5 s of the restoration
   harness.now += 60000;
   harness.run_maintenance_until(harness.now + 1000);
-  CHECK(count_attempts(harness, "a", 200) > attempts_in_slow_start + 30);  // it began with a slow start
+  CHECK(count_attempts(harness, "a", 200) > attempts_in_slow_start + 30);  // more than in the slow start
 }
 
-TEST_CASE("with all endpoints ejected RPCs are rejected at once, with a Retry-After") {
+TEST_CASE("RPCs are rejected at once with a Retry-After while all endpoints are ejected") {
   LoadBalancerHarness harness;
   harness.update_endpoints(make_endpoints('a', 'b'));
   for (const char* id : {"a", "b"})
@@ -164,7 +161,7 @@
   CHECK(decision.delay_ms > 0);
 }
 
-TEST_CASE("an attempt withdrawn unsent is sent elsewhere at once, at no cost to it or its endpoint") {
+TEST_CASE("an attempt that is withdrawn before it is sent goes to another endpoint at once and at no cost") {
   LoadBalancerHarness harness(test_config(RetrySafety::non_idempotent));
   LoadBalancer& load_balancer = harness.load_balancer;
   harness.update_endpoints(make_endpoints('a', 'b'));
@@ -196,7 +193,7 @@
   AdminServer admin_server{event_loop, counters,
                            [this](const AdminRequest& request, const AdminServer::ResponseCallback& respond) {
                              requests.push_back(request);
-                             respond(request.endpoint_id == "nobody" ? 404 : 200, {});
+                             respond(request.endpoint_id == "unknown" ? 404 : 200, {});
                            }};
   sockaddr_in address;
   FileDescriptorBudget budget{200};
@@ -216,7 +213,7 @@
 
 }  // namespace
 
-TEST_CASE("admin server: requests, split at every byte") {
+TEST_CASE("admin server: requests that are split at any byte get the expected status") {
   struct {
     const char* text;
     int status;
@@ -226,7 +223,7 @@
       {"PUT /maintenance/enter?host=a HTTP/1.1\r\n\r\n", 200, "a"},
       {"PUT /maintenance/exit?host=s%2D5%20b HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", 200, "s-5 b"},
       {"PUT /maintenance/enter?x=1&host=a&y HTTP/1.0\r\n\r\n", 200, "a"},
-      {"PUT /maintenance/enter?host=nobody HTTP/1.1\r\n\r\n", 404, "nobody"},
+      {"PUT /maintenance/enter?host=unknown HTTP/1.1\r\n\r\n", 404, "unknown"},
       {"PUT /maintenance/enter?host=a&host=b HTTP/1.1\r\n\r\n", 400, nullptr},
       {"PUT /maintenance/enter?host= HTTP/1.1\r\n\r\n", 400, nullptr},
       {"PUT /maintenance/enter?host=%zz HTTP/1.1\r\n\r\n", 400, nullptr},
@@ -262,7 +259,7 @@
   }
 }
 
-TEST_CASE("admin server: clients that hold connections without a complete request shut nobody out") {
+TEST_CASE("admin server: clients that hold connections without a complete request don't keep out others") {
   AdminServerFixture fixture;
   for (std::size_t i = 0; i < 4 * AdminServer::reserved_descriptors; ++i)
     fixture.connect_client().send("GET /sta");
@@ -276,7 +273,7 @@
   CHECK(open_count < AdminServer::reserved_descriptors);
 }
 
-TEST_CASE("event loop: a watch of high priority is served ahead of all others in a round") {
+TEST_CASE("event loop: a watch of high priority is dispatched ahead of all others in an iteration") {
   constexpr int stream_count = 20;
   EventLoop event_loop;
   FileDescriptorBudget budget{100};
@@ -297,7 +294,7 @@
   CHECK(order.front() == stream_count - 1);
 }
 
-TEST_CASE("requests not yet written to an endpoint when it is ejected go elsewhere, written ones go on") {
+TEST_CASE("an ejection moves unwritten requests to another endpoint and lets written ones continue") {
   EventLoop event_loop;
   std::ostringstream log_text;
   Logger logger(log_text, LogLevel::debug);
@@ -322,7 +319,7 @@
   int second_status = 0;
   send_request(1, first_status);
   REQUIRE(run_until(event_loop, [&] { return endpoint_a.request_targets.size() == 1; }));
-  send_request(2, second_status);  // still connecting
+  send_request(2, second_status);  // its connection is still being established
   pool.update_endpoint("b", address_text(endpoint_b.address));
   dispatcher.update_endpoints(true, false, {make_endpoint("a"), make_endpoint("b")});
   dispatcher.set_ejected_manually("a", true, event_loop.now());
@@ -331,10 +328,10 @@
   CHECK(endpoint_b.request_targets.size() == 1);
   CHECK(endpoint_a.request_targets.size() == 1);
   CHECK(counters.attempts[static_cast<std::size_t>(AttemptOutcome::withdrawn)] == 1);
-  CHECK(first_status == 0);  // in flight there, and left to end
+  CHECK(first_status == 0);  // still in flight at endpoint a
 }
 
-TEST_CASE("an inherited listener is adopted, any other descriptor is refused") {
+TEST_CASE("an inherited listener is adopted and any other descriptor is rejected") {
   const FileDescriptor listener = listen_on_loopback();
   const FileDescriptor adopted = adopt_listener_fd(::dup(listener.get()));
   CHECK(adopted.get() >= 0);
