--- a/src/http/admin_codec.cpp
+++ b/src/http/admin_codec.cpp
@@ -34,7 +34,7 @@
 
 bool is_control_character(unsigned char character) { return character < 0x20 || character == 0x7f; }
 
-/// Empty if the escapes are malformed or the result has control characters, which no id of an endpoint has.
+/// Returns nothing if an escape is malformed or the result has a control character, which no endpoint id has.
 std::optional<std::string> percent_decode(std::string_view text) {
   std::string decoded;
   while (!text.empty()) {
@@ -57,7 +57,7 @@
   return target;
 }
 
-/// The id that the query names; empty unless it names exactly one valid id.
+/// The endpoint id in the query; nothing unless the query has exactly one id and the id is valid.
 std::optional<std::string> decode_endpoint_id(std::string_view query) {
   constexpr std::string_view parameter = "host=";
   std::optional<std::string> endpoint_id;
@@ -96,7 +96,7 @@
 
 WriteBuffer encode_admin_response(int status, std::string_view body, bool is_json) {
   std::string head = http::status_line(status);
-  // Both methods, as each path takes one of them.
+  // The field lists both methods, because each path accepts one of them.
   if (status == http::status::method_not_allowed) head += "Allow: GET, PUT\r\n";
   if (is_json) head += "Content-Type: application/json\r\n";
   head += http::final_header_lines(body.size(), true);
--- a/src/http/admin_codec.h
+++ b/src/http/admin_codec.h
@@ -1,5 +1,5 @@
 /// \file
-/// Requests to the second address, which operators use, and the responses to them.
+/// Requests to the admin address, which operators use, and the responses to them.
 #pragma once
 
 #include <string>
@@ -10,24 +10,24 @@
 
 namespace indigorill {
 
-/// What an operator asks for.
+/// A decoded request of an operator.
 struct AdminRequest {
   enum class Command {
     status,
     membership,
     quotas,
-    eject,   ///< eject the endpoint `endpoint_id` by hand
-    restore  ///< let it back in
+    eject,   ///< eject the endpoint `endpoint_id` manually
+    restore  ///< end the manual ejection of `endpoint_id`
   };
 
   Command command = Command::status;
-  std::string endpoint_id;  ///< of `eject` and `restore`
-  int error_status = 0;     ///< the HTTP status to reject the request with; 0: it is valid
+  std::string endpoint_id;  ///< endpoint to eject or restore; empty for other commands
+  int error_status = 0;     ///< HTTP status to reject the request with; 0 if the request is valid
 };
 
 AdminRequest decode_admin_request(const http::Message& request);
 
-/// The whole response; the connection is closed after it.
+/// The whole response; its head says that the connection is closed after it.
 WriteBuffer encode_admin_response(int status, std::string_view body, bool is_json = false);
 
 }  // namespace indigorill
--- a/src/http/head_format.h
+++ b/src/http/head_format.h
@@ -1,5 +1,5 @@
 /// \file
-/// Lines of message heads that several codecs write.
+/// Lines of message heads that several codecs share.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 /// Content-Length, "Connection: close" if `close_connection`, and the empty line that ends the head.
 std::string final_header_lines(std::size_t content_length, bool close_connection);
 
-/// The line ahead of the data of a chunk.
+/// The line with the size of a chunk, which precedes its data.
 std::string chunk_size_line(std::size_t bytes);
 
 /// The target of a request without its query.
--- a/src/http/header_codec.cpp
+++ b/src/http/header_codec.cpp
@@ -29,10 +29,10 @@
 constexpr std::string_view load_report_header = "X-Load-Report";
 constexpr std::string_view rejected_header = "X-Rejected";
 
-// Longer ones mean no limit, and must not overflow later.
+// Longer budgets mean no limit; they are capped so that later arithmetic doesn't overflow.
 constexpr double max_budget_ms = 24 * 3600 * 1000.0;
 
-/// Header fields that belong to one connection, or are written anew.
+/// Whether a header field is not forwarded, because it applies to one connection or is written anew.
 bool is_hop_by_hop(std::string_view name) {
   static constexpr std::array<std::string_view, 10> names{
       "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Content-Length", "TE",
@@ -63,13 +63,13 @@
   return path.substr(0, path.find('/'));
 }
 
-/// Names the object that the RPC is about; the first segment is its method.
+/// The segment that names the object that the RPC concerns; the first segment names its method.
 std::string_view second_path_segment(std::string_view path) {
   path.remove_prefix(std::min(first_path_segment(path).size() + 2, path.size()));
   return path.substr(0, path.find('/'));
 }
 
-/// FNV-1a, so that all sidecars get the same key.
+/// FNV-1a, so that all sidecars compute the same key.
 std::uint64_t fnv1a_hash(std::string_view text) {
   constexpr std::uint64_t offset_basis = 14695981039346656037ULL;
   constexpr std::uint64_t prime = 1099511628211ULL;
@@ -85,7 +85,8 @@
       }));
 }
 
-/// If one is repeated, the endpoint could act on another value than the sidecar.
+/// Whether the id, the method or the budget is repeated; the endpoint could then use another value than the
+/// sidecar.
 bool has_repeated_rpc_header(const Message& request) {
   return count_headers(request, rpc_id_header) > 1 || count_headers(request, method_header) > 1 ||
          count_headers(request, budget_header) > 1;
@@ -93,7 +94,7 @@
 
 enum class LoadReportForwarding { forward, omit };
 
-/// Borrows the header fields that are forwarded, in as few chunks as there are gaps between them.
+/// Appends the header fields that are forwarded, as one borrowed chunk for each run of adjacent lines.
 void append_forwarded_headers(WriteBuffer& output, const Message& message, LoadReportForwarding load_report) {
   const std::string_view connection_options = message.find_header("Connection").value_or("");
   const auto is_forwarded = [&](std::string_view name) {
@@ -123,10 +124,10 @@
   if (has_chunk) output.append_owned("\r\n");
 }
 
-/// A streamed body goes out in chunks if its length is not known.
+/// Whether the body is streamed and of unknown length, so that it is sent in chunks.
 bool needs_chunks(const Message& message) { return message.is_partial && !message.content_length; }
 
-/// The end of the head of a request, which says how its body is framed.
+/// The last lines of the head of a request, which declare how its body is framed.
 std::string request_framing_lines(const Message& request) {
   if (needs_chunks(request)) return std::string(chunked_header_line) + "\r\n";
   if (request.is_partial) return final_header_lines(*request.content_length, false);
@@ -134,7 +135,8 @@
   return may_omit_length ? "\r\n" : final_header_lines(request.body().size(), false);
 }
 
-/// Calls `handle` with the name and the number, if it is one, of each entry "name=number" of a load report.
+/// Calls `handle` for each entry "name=value" of a load report, with the name and the value; the value is
+/// empty if it is not a decimal number.
 template <class Handler>
 void for_each_report_entry(std::string_view report, Handler&& handle) {
   while (!report.empty()) {
@@ -191,8 +193,8 @@
   if ((status == http::status::service_unavailable || status == http::status::gateway_timeout) &&
       response.find_header(rejected_header) == "1")
     return AttemptOutcome::rejected;
-  // No endpoint could serve such an RPC, so it doesn't count against this one. 408 and 429 may succeed on a
-  // retry.
+  // No endpoint could serve an RPC with a client error, so the error doesn't count against this endpoint.
+  // After 408 and 429 a retry may succeed.
   if (status >= 400 && status < 500 && status != http::status::request_timeout &&
       status != http::status::too_many_requests)
     return AttemptOutcome::client_error;
@@ -220,7 +222,7 @@
 
 WriteBuffer encode_attempt(const Message& request, double timeout_ms) {
   WriteBuffer output;
-  // Method and target are forwarded unchanged, with the version of the sidecar.
+  // The method and the target are forwarded unchanged; the HTTP version is the sidecar's.
   output.append_borrowed(request.slice(request.method));
   output.append_owned(" ");
   output.append_borrowed(request.slice(request.target));
--- a/src/http/header_codec.h
+++ b/src/http/header_codec.h
@@ -1,7 +1,6 @@
 /// \file
-/// The header codec: what the heads of messages say of an RPC, an attempt or a health check, and the heads
-/// that the sidecar writes. Beside the discovery client this is the only place that knows the names in the
-/// protocol.
+/// The header codec: decodes RPCs and the results of attempts and health checks from messages, and encodes
+/// the heads that the sidecar writes. Only this codec and the discovery client contain names of the protocol.
 #pragma once
 
 #include <cstddef>
@@ -16,55 +15,58 @@
 
 namespace indigorill {
 
-/// What a client's request is for, by its path.
+/// Kind of a client's request, as determined by its path.
 enum class RequestKind {
   rpc,
   readiness,
   counters,
-  options,  ///< OPTIONS *: what the sidecar supports
-  unknown   ///< a reserved path that means nothing
+  options,  ///< OPTIONS *, which asks for the supported methods
+  unknown   ///< a reserved path, under /-/, that has no meaning
 };
 
 RequestKind classify_request(const http::Message& request);
 
-/// An RPC as a client's request describes it. Views lead into the request.
+/// An RPC decoded from a client's request. Its views refer to bytes of the request.
 struct RpcRequest {
   std::string_view id;
   std::string_view method;
-  double budget_ms = 0;                       ///< time for the whole RPC, from when the client sent it
-  std::optional<std::uint64_t> affinity_key;  ///< hash of the object that the RPC is about
+  double budget_ms = 0;                       ///< time for the whole RPC, from its sending by the client
+  std::optional<std::uint64_t> affinity_key;  ///< hash of the name of the object that the RPC concerns
   std::string_view tenant;
-  bool is_retry = false;  ///< of an earlier RPC, as far as clients say so
-  int error_status = 0;   ///< the HTTP status to reject the request with; 0: it is valid
+  bool is_retry = false;  ///< whether the client marked the RPC as a retry of an earlier one
+  int error_status = 0;   ///< HTTP status to reject the request with; 0 if the request is valid
 };
 
 RpcRequest decode_rpc_request(const http::Message& request);
 
 bool is_head_request(const http::Message& request);
 
-/// How the attempt or health check that got this response has ended.
+/// Outcome of the attempt or health check that received this response.
 AttemptOutcome classify_response(const http::Message& response);
 
-/// The load that an endpoint reports beside its response; a health check may have it in the body instead.
+/// The load report in the header of a response; a response to a health check may have it in the body instead.
 LoadReport decode_load_report(const http::Message& response, bool is_health_check);
 
-/// False if there is a load report that has no readable figure; true also if there is none.
+/// Whether the load report in the header has at least one valid number; true also if there is no report.
 bool has_valid_load_report(const http::Message& response);
 
-/// The request that forwards an RPC to an endpoint. Borrows from `request`, which must outlast the writing.
+/// The request that forwards an RPC to an endpoint. The buffer borrows from `request`, which must stay valid
+/// until the buffer is written.
 WriteBuffer encode_attempt(const http::Message& request, double timeout_ms);
 
 WriteBuffer encode_health_check(bool reports_load);
 
-/// The next part of a streamed body; `chunked` unless its length was stated in the head.
+/// Encodes the next part of a streamed body. `chunked`: the head declares the chunked transfer coding,
+/// because the length of the body is unknown.
 std::string encode_body_chunk(std::string_view bytes, bool chunked, bool is_last);
 
 /// The interim response after which a client sends its body.
 std::string_view continue_response();
 
-/// Forwards an endpoint's response to the client. Borrows from `response`, which must outlast the writing.
-/// `is_head_response`: it answers a HEAD request and has no body. `client_is_http_1_0`: the client doesn't
-/// understand chunks, so a body of unknown length ends with the connection.
+/// The response that forwards an endpoint's response to the client. The buffer borrows from `response`, which
+/// must stay valid until the buffer is written. `is_head_response`: the response answers a HEAD request and
+/// has no body. `client_is_http_1_0`: the client doesn't understand chunks, so a body of unknown length ends
+/// with the connection.
 WriteBuffer encode_forwarded_response(const http::Message& response, bool close_connection,
                                       bool is_head_response = false, bool client_is_http_1_0 = false);
 
--- a/src/http/http_parser.cpp
+++ b/src/http/http_parser.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t max_chunk_size_line_bytes = 256;
 constexpr std::size_t max_chunk_size_digits = 8;
 
-// The buffer grows by at least this much, when less than a quarter of it is left.
+// When less than a quarter of this size is free, the buffer grows until at least this size is free.
 constexpr std::size_t min_buffer_growth_bytes = std::size_t{4} * 1024;
 
 constexpr std::string_view crlf = "\r\n";
@@ -31,7 +31,7 @@
   return !text.empty() && std::all_of(text.begin(), text.end(), is_token_character);
 }
 
-/// Tabs are allowed.
+/// Whether the text has no control characters other than tabs.
 bool has_no_control_characters(std::string_view text) {
   constexpr char first_printable = 0x20;
   constexpr char del = 0x7f;
@@ -103,7 +103,7 @@
 
 Message HttpParser::take_partial_message() {
   Message message = std::exchange(message_, {});
-  // What is left, unparsed body with its framing, moves to the front.
+  // The unparsed input, which is the rest of the body with its framing, is copied to the new buffer.
   const std::string_view unparsed = std::string_view(message.bytes).substr(parse_offset_, unparsed_bytes());
   message_.bytes.assign(unparsed);
   filled_bytes_ = unparsed.size();
@@ -159,7 +159,7 @@
   return false;
 }
 
-/// Moves what is not parsed yet to the front of the buffer.
+/// Moves the unparsed bytes to the front of the buffer.
 void HttpParser::discard_parsed_bytes() {
   const std::size_t unparsed = unparsed_bytes();
   std::memmove(message_.bytes.data(), message_.bytes.data() + parse_offset_, unparsed);
@@ -168,7 +168,8 @@
   scan_offset_ = 0;
 }
 
-/// Consumes a line and returns it without its CRLF; empty if it is incomplete or the message has failed.
+/// Consumes a line and returns it without its CRLF. Returns nothing if the line is incomplete, or if it is
+/// too long or malformed; the latter two set the error state.
 std::optional<std::string_view> HttpParser::next_line(std::size_t max_bytes) {
   const std::string_view input(message_.bytes.data(), filled_bytes_);
   scan_offset_ = std::max(scan_offset_, parse_offset_);
@@ -182,7 +183,8 @@
     fail(status::header_fields_too_large);
     return {};
   }
-  // Only CRLF ends a line: a peer that also accepted a bare LF would see other messages than we do.
+  // Only CRLF ends a line. A bare LF is an error, because a peer that accepts it as the end of a line would
+  // split the bytes into other messages than this parser.
   if (line_feed == parse_offset_ || input[line_feed - 1] != '\r') {
     fail(status::bad_request);
     return {};
@@ -244,7 +246,7 @@
   }
 }
 
-/// One empty line before a request is allowed. It is removed so that the message starts with the request
+/// Removes the one empty line that is allowed before a request, so that the message starts with the request
 /// line.
 bool HttpParser::skip_leading_empty_line() {
   message_.bytes.erase(0, parse_offset_);
@@ -324,8 +326,9 @@
   return select_body_stage(*framing);
 }
 
-/// Empty if the headers contradict each other or name an unknown transfer coding. Two lengths, or a length
-/// beside chunks, are how a request is smuggled inside another.
+/// Returns nothing if the header fields are malformed or contradict each other, or if they name another
+/// transfer coding than a single "chunked". Two different lengths, or a length in a chunked message, allow
+/// request smuggling.
 std::optional<HttpParser::FramingHeaders> HttpParser::parse_framing_headers() const {
   FramingHeaders framing;
   for (const HeaderField& header : message_.headers) {
@@ -351,8 +354,8 @@
   return framing;
 }
 
-/// The final response follows. The connection is not reused after it: a server that sends interim responses
-/// unasked might send another one later.
+/// Skips an interim response; the final response follows it. The connection is not reused after the final
+/// response, because a server that sends unsolicited interim responses might send another one later.
 bool HttpParser::skip_interim_response() {
   if (message_.status == status::switching_protocols) return fail(status::bad_request);
   has_interim_response_ = true;
@@ -390,7 +393,8 @@
     return true;
   }
   const std::size_t count = std::min(remaining_bytes_, unparsed_bytes());
-  // A long body starts to stream with its first bytes: the head alone may still be followed by nothing.
+  // Streaming of a long body starts with the first bytes of the body, because the peer may send nothing after
+  // the head.
   if (!is_streaming_ && count == 0) return false;
   message_.body_range.length += static_cast<std::uint32_t>(count);
   parse_offset_ += count;
@@ -426,7 +430,7 @@
   return true;
 }
 
-/// Appends what has come of the chunk to the body, in place.
+/// Appends the received part of the chunk to the body, in place.
 bool HttpParser::parse_chunk_data() {
   const std::size_t count = std::min(remaining_bytes_, unparsed_bytes());
   if (count == 0) return false;
@@ -435,7 +439,7 @@
   message_.body_range.length += static_cast<std::uint32_t>(count);
   parse_offset_ += count;
   remaining_bytes_ -= count;
-  // The room that framing took is reclaimed, or a body in many small chunks would fill the memory.
+  // The space of the chunk framing is reclaimed; otherwise a body of many small chunks would use up memory.
   std::memmove(buffer + body_end(), buffer + parse_offset_, unparsed_bytes());
   filled_bytes_ -= parse_offset_ - body_end();
   parse_offset_ = body_end();
--- a/src/http/http_parser.h
+++ b/src/http/http_parser.h
@@ -1,5 +1,5 @@
 /// \file
-/// Incremental HTTP/1.1 parser. It is fed bytes and knows no socket.
+/// Incremental HTTP/1.1 parser. The caller passes it the received bytes; the parser does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 constexpr std::size_t max_head_bytes = std::size_t{16} * 1024;
 
-/// Bodies up to this size are buffered whole; longer ones are streamed, if the parser's user allows that.
+/// Bodies up to this size are buffered whole; longer bodies are streamed if the caller allows streaming.
 constexpr std::size_t max_buffered_body_bytes = std::size_t{64} * 1024;
 
 /// The longest body that may be streamed.
@@ -22,11 +22,12 @@
 
 /// Parses the messages of one direction of a connection, one after the other.
 ///
-/// Bytes are read into `writable_buffer()` and announced with `commit()`; `state()` then tells what to do. A
-/// message that fits the buffer becomes `complete` and is taken with `take_message()`. A longer one, if
-/// streaming is allowed, becomes `head_ready`: `take_message()` returns its head with the first part of the
-/// body, the rest appears in `body_chunk()` until the state is `body_complete`, and `start_next_message()`
-/// goes on. Pipelined bytes are kept for the next message.
+/// The caller writes bytes to `writable_buffer()` and calls `commit()`; `state()` then says what to do next.
+/// Once a message that fits the buffer has arrived, the state is `complete`, and `take_message()` returns the
+/// message. For a longer message, if streaming is allowed, the state becomes `head_ready`: `take_message()`
+/// returns the head with the first part of the body, the rest of the body appears in `body_chunk()` until the
+/// state is `body_complete`, and `start_next_message()` continues with the next message. Pipelined bytes are
+/// kept for the next message.
 class HttpParser {
  public:
   enum class MessageKind { request, response };
@@ -34,39 +35,40 @@
   enum class ParseState {
     reading,         ///< the message is not complete yet
     complete,        ///< `take_message()` returns the whole message
-    error,           ///< malformed or too long: see `error_status()`; nothing more is parsed
+    error,           ///< malformed or too long, see `error_status()`; the parser has stopped
     head_ready,      ///< `take_message()` returns the head and the first part of a long body
     streaming_body,  ///< more of the long body is expected
-    body_complete    ///< the long body has ended: `start_next_message()`
+    body_complete    ///< the long body has ended; `start_next_message()` is due
   };
 
   explicit HttpParser(MessageKind kind, std::size_t max_buffered_body = max_buffered_body_bytes)
       : kind_(kind), max_buffered_body_(max_buffered_body) {}
 
-  /// Lets bodies that are too long for the buffer be streamed, up to `max_body_bytes`.
+  /// Allows streaming of bodies that are too long for the buffer, up to `max_body_bytes`.
   void allow_streaming(bool is_allowed = true) { is_streaming_allowed_ = is_allowed; }
 
-  /// The next response has no body whatever its head says, because it answers a HEAD request.
+  /// Declares that the next response answers a HEAD request and has no body, whatever its head says.
   void expect_no_body() { is_body_forbidden_ = true; }
 
   bool is_head_complete() const { return stage_ != ParseStage::head; }
 
-  /// The client waits for "100 Continue" before it sends the body.
+  /// Whether the client waits for "100 Continue" before it sends the body.
   bool expects_continue() const { return expects_continue_; }
   void mark_continue_sent() { expects_continue_ = false; }
 
-  /// Where to put the bytes received next. Never empty; valid until the next call of a non-const member.
+  /// Returns the space for the bytes received next. Never empty; valid until the next call of a non-const
+  /// member function.
   std::span<char> writable_buffer();
 
-  /// Parses `count` bytes that were put at the front of `writable_buffer()`.
+  /// Parses `count` bytes that the caller has written to the front of `writable_buffer()`.
   void commit(std::size_t count);
 
-  /// The peer will send nothing more.
+  /// Ends the input: the peer will send no more bytes.
   void on_end_of_stream();
 
   ParseState state() const { return state_; }
 
-  /// Some bytes of a message have been received.
+  /// Whether the buffer holds received bytes.
   bool has_partial_input() const { return filled_bytes_ > 0; }
 
   /// The HTTP status that describes the error, if the state is `error`.
@@ -75,14 +77,15 @@
   /// Bytes allocated for input.
   std::size_t buffer_capacity() const { return message_.bytes.capacity(); }
 
-  /// Returns the message, or its head and first part if the state is `head_ready`, and goes on parsing.
+  /// Returns the message, or its head and the first part of its body if the state is `head_ready`, and
+  /// continues to parse the remaining input.
   Message take_message();
 
-  /// What has been received of a streamed body since the last `consume_body_chunk()`, without framing.
+  /// The bytes of a streamed body received since the last `consume_body_chunk()`, without framing.
   std::string_view body_chunk() const { return std::string_view(message_.bytes).substr(0, body_end()); }
   void consume_body_chunk();
 
-  /// Reading should pause until `consume_body_chunk()`.
+  /// Whether the caller should stop reading until it has called `consume_body_chunk()`.
   bool is_body_buffer_full() const {
     return state_ == ParseState::streaming_body && body_end() >= max_buffered_body_bytes;
   }
@@ -104,7 +107,7 @@
     complete
   };
 
-  /// What the head says of the body and of the connection.
+  /// Contents of the header fields Content-Length, Transfer-Encoding, Connection and Expect.
   struct FramingHeaders {
     std::optional<std::uint64_t> content_length;
     bool is_chunked = false;
@@ -122,8 +125,8 @@
   void discard_parsed_bytes();
   bool fail(int status);
 
-  // The functions below that return bool return true if there may be more to parse: false if the message is
-  // incomplete, has failed, or has reached a state in which the user has to act.
+  // The functions below that return bool return true if parsing can continue, and false if the message is
+  // incomplete, is malformed, or has reached a state in which the caller has to act.
   void parse();
   bool parse_stage();
 
@@ -154,12 +157,12 @@
   ParseStage stage_ = ParseStage::head;
   int error_status_ = 400;
   Message message_;
-  std::size_t filled_bytes_ = 0;     // received, at the front of message_.bytes
-  std::size_t parse_offset_ = 0;     // up to here input is parsed
-  std::size_t scan_offset_ = 0;      // from parse_offset_ up to here there is no line end
-  std::size_t remaining_bytes_ = 0;  // of the body or of the chunk
+  std::size_t filled_bytes_ = 0;     // received bytes, at the front of message_.bytes
+  std::size_t parse_offset_ = 0;     // end of the parsed input
+  std::size_t scan_offset_ = 0;      // no line feed between parse_offset_ and here
+  std::size_t remaining_bytes_ = 0;  // bytes of the body or of the chunk left to parse
   std::size_t trailer_bytes_ = 0;
-  std::uint64_t streamed_bytes_ = 0;  // of the body, handed out already
+  std::uint64_t streamed_bytes_ = 0;  // bytes of the body already passed to the caller
   bool has_interim_response_ = false;
   bool is_streaming_allowed_ = false;
   bool is_body_forbidden_ = false;
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,6 +1,6 @@
 /// \file
-/// HTTP/1.1 messages as parsed in place: a message keeps the received bytes, and its parts are ranges of
-/// them.
+/// HTTP/1.1 messages, parsed in place: a message owns the received bytes, and its parts are ranges of these
+/// bytes.
 #pragma once
 
 #include <cstdint>
@@ -19,29 +19,29 @@
 
 struct HeaderField {
   ByteRange name;
-  ByteRange value;     ///< without surrounding blanks
-  ByteRange raw_line;  ///< the whole line with its CRLF
+  ByteRange value;     ///< value without surrounding blanks
+  ByteRange raw_line;  ///< whole line with its CRLF
 };
 
 /// A request or a response. Views into it are valid until it is moved or destroyed.
 struct Message {
   std::string bytes;
-  ByteRange method;  ///< of a request
-  ByteRange target;  ///< of a request, in origin form or "*"
-  int status = 0;    ///< of a response
+  ByteRange method;  ///< method of a request; empty for a response
+  ByteRange target;  ///< target of a request, in origin form or "*"; empty for a response
+  int status = 0;    ///< status code of a response; 0 for a request
   std::vector<HeaderField> headers;
   ByteRange body_range;
-  bool keep_alive = true;    ///< the connection may carry another message after this one
-  bool is_http_1_0 = false;  ///< the sender doesn't understand chunked bodies
-  bool is_partial = false;   ///< the body is only the first part; the parser streams the rest
-  std::optional<std::uint64_t> content_length;  ///< as stated by the head
+  bool keep_alive = true;    ///< whether the connection may carry another message after this one
+  bool is_http_1_0 = false;  ///< whether the sender uses HTTP/1.0, which has no chunked bodies
+  bool is_partial = false;   ///< whether `body()` is only the first part; the parser streams the rest
+  std::optional<std::uint64_t> content_length;  ///< value of the Content-Length header field, if present
 
   std::string_view slice(ByteRange range) const {
     return std::string_view(bytes).substr(range.offset, range.length);
   }
   std::string_view body() const { return slice(body_range); }
 
-  /// The value of the first header field of this name.
+  /// Returns the value of the first header field with this name, if there is one.
   std::optional<std::string_view> find_header(std::string_view name) const;
 };
 
--- a/src/http/status.h
+++ b/src/http/status.h
@@ -22,7 +22,7 @@
 constexpr int service_unavailable = 503;
 constexpr int gateway_timeout = 504;
 
-/// The text beside `code` in a status line; a generic one for codes that are not listed.
+/// The reason phrase of `code` for a status line; a generic phrase for codes without a case below.
 constexpr std::string_view reason_phrase(int code) {
   switch (code) {
     case ok:
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -39,7 +39,7 @@
   std::string bytes;
   bool is_closed_after;
   HttpParser::ParseState state;
-  int status;  // of the error, or of the response
+  int status;  // of the error if `state` is `error`, otherwise of the response
   std::string body;
   bool keep_alive = true;
 };
@@ -49,72 +49,83 @@
 
 std::vector<ParserCase> request_cases() {
   return {
-      {"no body", request, "GET /a?b HTTP/1.1\r\nHost: x\r\n\r\n", false, complete, 0, ""},
-      {"an empty line before", request, "\r\nGET /a HTTP/1.1\r\n\r\n", false, complete, 0, ""},
-      {"a length", request, post + "Content-Length: 3\r\n\r\nabc", false, complete, 0, "abc"},
-      {"equal lengths", request, post + "Content-Length: 1\r\ncontent-length:1 \r\n\r\na", false, complete, 0,
-       "a"},
-      {"chunks", request,
+      {"request without a body", request, "GET /a?b HTTP/1.1\r\nHost: x\r\n\r\n", false, complete, 0, ""},
+      {"empty line before the request", request, "\r\nGET /a HTTP/1.1\r\n\r\n", false, complete, 0, ""},
+      {"Content-Length", request, post + "Content-Length: 3\r\n\r\nabc", false, complete, 0, "abc"},
+      {"repeated Content-Length with the same value", request,
+       post + "Content-Length: 1\r\ncontent-length:1 \r\n\r\na", false, complete, 0, "a"},
+      {"chunked request", request,
        post + "Transfer-Encoding: Chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: 1\r\n\r\n", false, complete,
        0, "abc"},
-      {"old version", request, "GET /a HTTP/1.0\r\n\r\n", false, complete, 0, "", false},
-      {"old version kept", request, "GET /a HTTP/1.0\r\nConnection: x, Keep-Alive\r\n\r\n", false, complete,
-       0, ""},
-      {"close asked", request, "GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", false, complete, 0, "", false},
+      {"HTTP/1.0 closes the connection", request, "GET /a HTTP/1.0\r\n\r\n", false, complete, 0, "", false},
+      {"HTTP/1.0 with keep-alive", request, "GET /a HTTP/1.0\r\nConnection: x, Keep-Alive\r\n\r\n", false,
+       complete, 0, ""},
+      {"Connection: close", request, "GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", false, complete, 0, "",
+       false},
       {"incomplete head", request, post + "Content-Length: 3\r\n", false, reading, 0, ""},
       {"incomplete body", request, post + "Content-Length: 3\r\n\r\nab", false, reading, 0, ""},
-      {"closed within", request, post + "Content-Length: 3\r\n\r\nab", true, error, 400, ""},
-      {"two lengths", request, post + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", false, error, 400,
-       ""},
-      {"length and chunks", request, post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", false,
+      {"end of stream within the body", request, post + "Content-Length: 3\r\n\r\nab", true, error, 400, ""},
+      {"two different lengths", request, post + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", false,
        error, 400, ""},
-      {"unknown coding", request, post + "Transfer-Encoding: gzip, chunked\r\n\r\n", false, error, 400, ""},
-      {"chunked twice", request, post + "Transfer-Encoding: chunked, chunked\r\n\r\n", false, error, 400, ""},
-      {"odd length", request, post + "Content-Length: +3\r\n\r\n", false, error, 400, ""},
-      {"huge length", request, post + "Content-Length: 99999999999999999999\r\n\r\n", false, error, 400, ""},
-      {"long body", request, post + "Content-Length: 65537\r\n\r\n", false, error, 413, ""},
-      {"long chunk", request, post + "Transfer-Encoding: chunked\r\n\r\n10001\r\n", false, error, 413, ""},
-      {"odd chunk", request, post + "Transfer-Encoding: chunked\r\n\r\nx\r\n", false, error, 400, ""},
-      {"chunk too long for its size", request, post + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", false,
+      {"Content-Length of a chunked request", request,
+       post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", false, error, 400, ""},
+      {"unknown transfer coding", request, post + "Transfer-Encoding: gzip, chunked\r\n\r\n", false, error,
+       400, ""},
+      {"repeated chunked coding", request, post + "Transfer-Encoding: chunked, chunked\r\n\r\n", false, error,
+       400, ""},
+      {"length with a sign", request, post + "Content-Length: +3\r\n\r\n", false, error, 400, ""},
+      {"length that overflows", request, post + "Content-Length: 99999999999999999999\r\n\r\n", false, error,
+       400, ""},
+      {"body over the limit", request, post + "Content-Length: 65537\r\n\r\n", false, error, 413, ""},
+      {"chunk over the limit", request, post + "Transfer-Encoding: chunked\r\n\r\n10001\r\n", false, error,
+       413, ""},
+      {"malformed chunk size", request, post + "Transfer-Encoding: chunked\r\n\r\nx\r\n", false, error, 400,
+       ""},
+      {"chunk longer than its size", request, post + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", false,
        error, 400, ""},
-      {"long line", request, "GET /" + repeated("a", 9000) + " HTTP/1.1\r\n\r\n", false, error, 431, ""},
-      {"long head", request,
+      {"line over the limit", request, "GET /" + repeated("a", 9000) + " HTTP/1.1\r\n\r\n", false, error, 431,
+       ""},
+      {"head over the limit", request,
        "GET / HTTP/1.1\r\n" + repeated("A: " + repeated("b", 996) + "\r\n", 17) + "\r\n", false, error, 431,
        ""},
       {"too many headers", request, "GET / HTTP/1.1\r\n" + repeated("A: b\r\n", 101) + "\r\n", false, error,
        431, ""},
-      {"line without return", request, "GET /a HTTP/1.1\nHost: x\n\n", false, error, 400, ""},
-      {"no version", request, "GET /a\r\n\r\n", false, error, 400, ""},
-      {"another version", request, "GET /a HTTP/2.0\r\n\r\n", false, error, 400, ""},
+      {"bare LF at the end of a line", request, "GET /a HTTP/1.1\nHost: x\n\n", false, error, 400, ""},
+      {"request line without a version", request, "GET /a\r\n\r\n", false, error, 400, ""},
+      {"unsupported version", request, "GET /a HTTP/2.0\r\n\r\n", false, error, 400, ""},
       {"absolute target", request, "GET http://x/a HTTP/1.1\r\n\r\n", false, complete, 0, ""},
       {"absolute target without path", request, "GET http://x HTTP/1.1\r\n\r\n", false, error, 400, ""},
-      {"space before colon", request, "GET /a HTTP/1.1\r\nHost : x\r\n\r\n", false, error, 400, ""},
-      {"folded line", request, "GET /a HTTP/1.1\r\nA: b\r\n c\r\n\r\n", false, error, 400, ""},
-      {"control in a value", request, "GET /a HTTP/1.1\r\nA: b\x01\r\n\r\n", false, error, 400, ""},
-      {"return in a value", request, "GET /a HTTP/1.1\r\nA: b\rc\r\n\r\n", false, error, 400, ""},
+      {"space before the colon of a header line", request, "GET /a HTTP/1.1\r\nHost : x\r\n\r\n", false,
+       error, 400, ""},
+      {"folded header line", request, "GET /a HTTP/1.1\r\nA: b\r\n c\r\n\r\n", false, error, 400, ""},
+      {"control character in a header value", request, "GET /a HTTP/1.1\r\nA: b\x01\r\n\r\n", false, error,
+       400, ""},
+      {"bare CR in a header value", request, "GET /a HTTP/1.1\r\nA: b\rc\r\n\r\n", false, error, 400, ""},
   };
 }
 
 std::vector<ParserCase> response_cases() {
   return {
       {"response with a length", response, ok + "Content-Length: 2\r\n\r\nab", false, complete, 200, "ab"},
-      {"response in chunks", response, ok + "Transfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\n0\r\n\r\n",
+      {"chunked response", response, ok + "Transfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\n0\r\n\r\n",
        false, complete, 200, "0123456789"},
-      {"response until close", response, ok + "\r\nabc", true, complete, 200, "abc", false},
-      {"response not closed yet", response, ok + "\r\nabc", false, reading, 200, ""},
-      {"response broken off", response, ok + "Content-Length: 3\r\n\r\nab", true, error, 400, ""},
+      {"response that ends with the connection", response, ok + "\r\nabc", true, complete, 200, "abc", false},
+      {"response without a length before the end of the connection", response, ok + "\r\nabc", false, reading,
+       200, ""},
+      {"truncated response", response, ok + "Content-Length: 3\r\n\r\nab", true, error, 400, ""},
       {"final response after an interim one", response,
        "HTTP/1.1 103 Wait\r\nA: b\r\n\r\n" + ok + "Content-Length: 1\r\n\r\na", false, complete, 200, "a",
        false},
-      {"no content", response, "HTTP/1.1 204 None\r\n\r\n", false, complete, 204, ""},
-      {"no reason", response, "HTTP/1.1 503\r\nContent-Length: 0\r\n\r\n", false, complete, 503, ""},
-      {"last response", response, ok + "Connection: close\r\nContent-Length: 0\r\n\r\n", false, complete, 200,
-       "", false},
-      {"no response", response, "", true, error, 400, ""},
-      {"other protocol", response, "SSH-2.0-x\r\n", false, error, 400, ""},
-      {"switching", response, "HTTP/1.1 101 Switch\r\n\r\n", false, error, 400, ""},
-      {"odd status", response, "HTTP/1.1 2x0 OK\r\n\r\n", false, error, 400, ""},
-      {"long response", response, ok + "\r\n" + repeated("a", 65537), false, error, 413, ""},
+      {"204 without a body", response, "HTTP/1.1 204 None\r\n\r\n", false, complete, 204, ""},
+      {"status line without a reason phrase", response, "HTTP/1.1 503\r\nContent-Length: 0\r\n\r\n", false,
+       complete, 503, ""},
+      {"response with Connection: close", response, ok + "Connection: close\r\nContent-Length: 0\r\n\r\n",
+       false, complete, 200, "", false},
+      {"end of stream without a response", response, "", true, error, 400, ""},
+      {"response of another protocol", response, "SSH-2.0-x\r\n", false, error, 400, ""},
+      {"101 Switching Protocols", response, "HTTP/1.1 101 Switch\r\n\r\n", false, error, 400, ""},
+      {"malformed status code", response, "HTTP/1.1 2x0 OK\r\n\r\n", false, error, 400, ""},
+      {"response over the limit", response, ok + "\r\n" + repeated("a", 65537), false, error, 413, ""},
   };
 }
 
@@ -155,12 +166,12 @@
   }
 }
 
-TEST_CASE("messages are the same however their bytes are split") {
+TEST_CASE("the parser's result does not depend on how the input is split") {
   check_parsed(request_cases());
   check_parsed(response_cases());
 }
 
-TEST_CASE("what follows a message is the next one, at every split") {
+TEST_CASE("pipelined requests are parsed in order however the input is split") {
   const std::string bytes =
       post + "Content-Length: 2\r\n\r\nab" + post +
       "Transfer-Encoding: chunked\r\n\r\n1\r\nc\r\n0\r\n\r\nGET /d HTTP/1.1\r\nX: e\r\n\r\n";
@@ -182,7 +193,7 @@
   }
 }
 
-TEST_CASE("decoding of RPC requests") {
+TEST_CASE("RPC requests are decoded and invalid ones get an error status") {
   const std::string id = "X-Call-Id: 1\r\n";
   struct {
     std::string head;
@@ -241,7 +252,7 @@
   }
 }
 
-TEST_CASE("outcome and load report of responses") {
+TEST_CASE("responses are decoded into an outcome and a load report") {
   struct {
     std::string head;
     std::string body;
@@ -272,7 +283,7 @@
   }
 }
 
-TEST_CASE("encoding of requests and responses") {
+TEST_CASE("requests to endpoints and responses to clients are encoded as HTTP/1.1") {
   const http::Message get = parse_message(request,
                                           "GET /read?a HTTP/1.1\r\nHost: h\r\nConnection: keep-alive, "
                                           "x-hop\r\nX-Hop: 1\r\nX-Call-Id: 9\r\nX-Budget: 480m\r\n\r\n");
