--- a/src/config/command_line.cpp
+++ b/src/config/command_line.cpp
@@ -26,21 +26,23 @@
   bool check_only = false;
 };
 
-/// Overwrites the fields of `arguments` that the command line states. Returns an exit status if the program
-/// has to end: after --help and --version, or an error.
+/// Overwrites the fields of `arguments` that the command line sets. Returns an exit status if the process has
+/// to exit: after --help, --version or an error.
 std::optional<int> parse_arguments(int argc, const char* const* argv, std::ostream& out, std::ostream& err,
                                    Arguments& arguments) {
-  CLI::App app("Balances the RPCs of the application beside it over the endpoints that discovery lists.",
+  CLI::App app("Sidecar that balances the RPCs of an application over the endpoints listed by discovery.",
                "indigorill");
   app.set_version_flag("--version", std::string("indigorill ") + INDIGORILL_VERSION);
-  app.add_option("--config", arguments.config_file, "the config file, JSON; in place of LB_CONFIG");
-  app.add_option("--options", arguments.options_file,
-                 "a TOML file with what the config doesn't hold; in place of INDIGORILL_OPTIONS");
+  app.add_option("--config", arguments.config_file, "JSON config file; overrides LB_CONFIG");
+  app.add_option(
+      "--options", arguments.options_file,
+      "TOML file with settings that the config file doesn't contain; overrides INDIGORILL_OPTIONS");
   app.add_flag("--check-config", arguments.check_only,
-               "print what is wrong in both files, one problem a line, and exit");
+               "check both files, print one problem per line and exit");
   app.footer(
-      "LB_NAME, LB_LISTEN and LB_DISCOVERY override the config, INDIGORILL_LOG overrides log.level of the "
-      "options.");
+      "LB_NAME, LB_LISTEN and LB_DISCOVERY override the config file; INDIGORILL_LOG overrides log.level of "
+      "the "
+      "options file.");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
@@ -53,7 +55,7 @@
   return file.empty() ? Options{} : decode_options(read_toml_file(file));
 }
 
-/// The name has more limits if it is sent to other sidecars.
+/// Checks the config's name against the stricter rules for a name that is sent to other sidecars.
 std::optional<ConfigProblem> find_node_name_problem(const SidecarConfig& config) {
   if (is_valid_name(config.name)) return {};
   return ConfigProblem{
@@ -131,7 +133,7 @@
   Arguments arguments{.config_file = environment_value(environment, "LB_CONFIG"),
                       .options_file = environment_value(environment, "INDIGORILL_OPTIONS")};
   if (const auto exit_status = parse_arguments(argc, argv, out, err, arguments)) return *exit_status;
-  // The file that the command line names stands for LB_CONFIG wherever that is read.
+  // The config file of the command line replaces the value of LB_CONFIG wherever that variable is read.
   const EnvironmentLookup overridden_environment = [&](const char* name) {
     return std::string_view(name) == "LB_CONFIG" ? arguments.config_file.c_str() : environment(name);
   };
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -9,12 +9,12 @@
 
 namespace indigorill {
 
-/// One thing that is wrong in the configuration.
+/// One problem in the configuration.
 struct ConfigProblem {
-  std::string file;   ///< empty if the value may come from elsewhere, as from an environment variable
+  std::string file;   ///< empty if the value may have another source, such as an environment variable
   unsigned line = 0;  ///< 0 if unknown
-  std::string field;  ///< dotted path of the setting; empty if the file as a whole is meant
-  std::string cause;  ///< continues a sentence that starts with the field
+  std::string field;  ///< dotted path of the setting; empty if the problem concerns the whole file
+  std::string cause;  ///< continues a sentence that starts with `field`
 
   /// One line of text: "file:line: field cause".
   std::string to_string() const {
--- a/src/config/json_fields.h
+++ b/src/config/json_fields.h
@@ -15,8 +15,8 @@
 
 /// Reads the fields of one JSON object, which must outlive it. A field that is null counts as absent.
 ///
-/// Every reader throws ParseError if the field has another type or is out of range; those without a default,
-/// also if it is absent.
+/// Every function that reads a field throws ParseError if the field has the wrong type or is out of range.
+/// Functions without a default value also throw ParseError if the field is absent, unless stated otherwise.
 class JsonFields {
  public:
   using Json = nlohmann::json;
@@ -27,7 +27,7 @@
   /// Throws a ParseError that concerns the object as a whole.
   [[noreturn]] void fail(const std::string& cause) const;
 
-  /// Throws a ParseError that concerns `field`; `cause` continues a sentence that starts with it.
+  /// Throws a ParseError that concerns `field`; `cause` continues a sentence that starts with `field`.
   [[noreturn]] void fail_field(const std::string& field, const std::string& cause) const;
 
   /// The value of the field; null if it is absent.
@@ -37,7 +37,7 @@
   double number(const char* field) const;
   double number(const char* field, double default_value) const;
 
-  /// Durations are microseconds in JSON; these return milliseconds.
+  /// Durations are in microseconds in JSON; the three functions below return them in milliseconds.
   double microseconds_as_ms(const char* field, double default_ms = 0) const;
   double duration_ms(const char* field, double default_ms = 0) const;       ///< 0 or more
   double positive_duration_ms(const char* field, double default_ms) const;  ///< above 0
@@ -47,24 +47,24 @@
   int integer(const char* field, int default_value) const;
 
   std::string string(const char* field) const;
-  /// The default stands also for the number 0, which some senders use for "none".
+  /// Also returns the default for the number 0, which some senders use for "none".
   std::string string(const char* field, const char* default_value) const;
 
   bool boolean(const char* field, bool default_value = false) const;
 
-  /// Empty if absent.
+  /// Returns an empty array or object if the field is absent.
   const Json& array(const char* field) const;
   JsonFields object(const char* field) const;
 
   /// Reads an object that is an element of the array `field`.
   JsonFields element(const char* field, const Json& object) const;
 
-  /// The value that `names` gives to the string in the field.
+  /// Returns the value that `names` maps the string in the field to.
   template <class T>
   T enum_value(const char* field, const std::map<std::string, T>& names) const {
     const std::string name = string(field);
     const auto entry = names.find(name);
-    if (entry == names.end()) fail_field(field, "has the unknown word " + Json(name).dump());
+    if (entry == names.end()) fail_field(field, "has the unknown value " + Json(name).dump());
     return entry->second;
   }
 
--- a/src/config/load_balancer_config.cpp
+++ b/src/config/load_balancer_config.cpp
@@ -13,7 +13,7 @@
   method.retry_safety = fields.enum_value<RetrySafety>("effect", {{"retryable", RetrySafety::idempotent},
                                                                   {"dedup", RetrySafety::idempotency_key},
                                                                   {"fragile", RetrySafety::non_idempotent}});
-  // Without either no RPC could ever be in time.
+  // One of deadline and latencyTarget is required; without both, no RPC could be on time.
   method.deadline_ms = fields.find("deadline") ? fields.positive_duration_ms("deadline", 0) : 0;
   method.latency_objective_ms = fields.positive_duration_ms("latencyTarget", method.deadline_ms);
   if (fields.find("group"))
@@ -41,7 +41,7 @@
 
 void decode_bounds(const JsonFields& bounds, LoadBalancerConfig& config) {
   config.max_attempts = bounds.integer("maxPicks", 1);
-  if (config.max_attempts == 0) bounds.fail_field("maxPicks", "is 0, so that nothing may be sent");
+  if (config.max_attempts == 0) bounds.fail_field("maxPicks", "is 0, which allows no attempts");
   config.cancellation_enabled = bounds.boolean("cancelling");
   config.probing_enabled = bounds.boolean("probes");
   config.max_retry_after_ms = bounds.boolean("retryAfter") ? bounds.duration_ms("maxRetryAfter") : 0;
@@ -68,7 +68,7 @@
   LoadBalancerConfig config;
   for (const Json& method : settings.array("methods"))
     config.methods.push_back(decode_method(settings.element("methods", method)));
-  if (config.methods.empty()) settings.fail("names no methods");
+  if (config.methods.empty()) settings.fail("lists no methods");
   config.zone = settings.string("zone", "");
   config.tick_ms = settings.duration_ms("round", 1);
   config.sidecar_count = settings.number("balancers", 1);
@@ -84,7 +84,7 @@
     config.tenants.push_back(decode_tenant(settings.element("parties", tenant)));
   config.over_quota_weight = settings.number("surplusUtility", 1);
   if (!(config.over_quota_weight >= 0 && config.over_quota_weight <= 1))
-    settings.fail_field("surplusUtility", "is not 0 to 1");
+    settings.fail_field("surplusUtility", "is not in the range 0 to 1");
   config.clients_mark_retries = settings.object("callers").boolean("marksRetry");
   config.gossip_enabled = bounds.boolean("mayTell");
   config.gossip_message_cost = charges.number("peer", 0);
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -13,13 +13,14 @@
 constexpr double bytes_per_mb = 1024 * 1024;
 constexpr double ms_per_s = 1000;
 
-// More often they would flood the log.
+// At shorter intervals the counters would flood the log.
 constexpr double min_counters_interval_ms = 1000;
 
 constexpr double max_memory_mb = 1 << 20;
 constexpr int max_sockets = 1 << 20;
 
-// The sidecar has descriptors of its own; with fewer than these there would be none left for connections.
+// The sidecar's own descriptors must take less than half of the limit; a lower limit would leave too few for
+// connections.
 constexpr int min_sockets = 33;
 
 // At shorter intervals two probes overlap on any network but loopback.
@@ -31,16 +32,18 @@
 // rounds.
 constexpr double min_probe_timeouts_per_lease = 10;
 
-// A grant is renewed after a third of its duration; one renewal may fail.
+// A grant is renewed after a third of its duration, and one renewal may fail.
 constexpr double min_probe_timeouts_per_grant = 3;
 
-// A lease is renewed after a third of it, and grants must end before the right to give them does.
+// A lease is renewed after a third of its duration, and grants must expire before the lease that authorizes
+// them.
 constexpr double min_grants_per_lease = 3;
 
 constexpr int max_quota_holders = 100000;
 constexpr double max_budget_per_s = 1e9;
 
-/// The address at the key, or a zero one if that is not valid.
+/// Parses `text`, the value of the key. If it is not an address, returns a zero address, and reports an error
+/// unless the key is missing.
 sockaddr_in check_address(TomlSection& section, const char* key, const std::string& text) {
   const auto address = parse_socket_address(text);
   if (!address && section.has(key)) section.add_error(key, "is not an address and a port: " + text);
@@ -63,10 +66,10 @@
 void decode_probe_timing(TomlSection& section, ClusterNode::Config& config) {
   config.probe_interval_ms = section.duration_ms("period_ms", config.probe_interval_ms);
   config.probe_timeout_ms = section.duration_ms("timeout_ms", config.probe_timeout_ms);
-  if (config.probe_interval_ms < min_probe_interval_ms) section.add_error("period_ms", "is under 50");
-  // Indirect probes start after the first timeout and take as long once more.
+  if (config.probe_interval_ms < min_probe_interval_ms) section.add_error("period_ms", "is below 50 ms");
+  // Indirect probes start after the timeout of the direct probe and need the same time again.
   if (config.probe_timeout_ms <= 0 || 2 * config.probe_timeout_ms > config.probe_interval_ms)
-    section.add_error("timeout_ms", "is not over 0 and at most half of period_ms");
+    section.add_error("timeout_ms", "must be above 0 and at most half of period_ms");
 }
 
 void decode_lease_options(TomlSection& section, ClusterNode::Config& config) {
@@ -74,13 +77,14 @@
   config.lease_ms = section.duration_ms("lease_ms", config.lease_ms);
   config.max_clock_drift = section.number("drift", config.max_clock_drift, 0, max_clock_drift);
   if (!config.voters.empty() && config.voters.size() % 2 == 0)
-    section.add_error("voters", "are even in number: one less tolerates as many failures");
+    section.add_error("voters", "has an even number of names: one voter fewer tolerates as many failures");
   std::set<std::string> distinct_voters;
   for (const std::string& voter : config.voters)
     if (!is_valid_name(voter) || !distinct_voters.insert(voter).second)
       section.add_error("voters", "contains an invalid or repeated name: " + voter);
   if (!config.voters.empty() && config.lease_ms < min_probe_timeouts_per_lease * config.probe_timeout_ms)
-    section.add_error("lease_ms", "is under ten times timeout_ms: it would expire before it can be renewed");
+    section.add_error("lease_ms",
+                      "is less than ten times timeout_ms: the lease would expire before it can be renewed");
 }
 
 ClusterNode::Config decode_cluster_options(const toml::table& table, ConfigDiagnostics& diagnostics) {
@@ -96,13 +100,13 @@
   return config;
 }
 
-/// The budget of retries that the fleet shares.
+/// Decodes the retry budget that the fleet shares.
 FleetBudget decode_retry_budget(const toml::table& table, int max_holders, ConfigDiagnostics& diagnostics) {
   TomlSection section(table, "budgets.further_picks", diagnostics);
   FleetBudget budget{"further_picks", section.number("a_second", {}, 0, max_budget_per_s), 0, ms_per_s};
   budget.guaranteed_minimum = section.number("floor", 0, 0, max_budget_per_s);
   if (budget.guaranteed_minimum * max_holders > budget.total)
-    section.add_error("floor", "times most exceeds a_second");
+    section.add_error("floor", "multiplied by budgets.most exceeds a_second");
   if (budget.guaranteed_minimum != std::floor(budget.guaranteed_minimum))
     section.add_error("floor", "is not a whole number");
   section.reject_unknown_keys();
@@ -115,10 +119,10 @@
   quota.max_clock_drift = cluster.max_clock_drift;
   if (quota.grant_duration_ms <= 0 ||
       quota.with_drift_margin(quota.grant_duration_ms) > cluster.lease_ms / min_grants_per_lease)
-    section.add_error("share_ms", "is not over 0 and at most a third of lease_ms");
+    section.add_error("share_ms", "must be above 0 and at most a third of lease_ms");
   if (quota.grant_duration_ms < min_probe_timeouts_per_grant * cluster.probe_timeout_ms)
     section.add_error("share_ms",
-                      "is under three times timeout_ms: it would expire before it can be renewed");
+                      "is less than three times timeout_ms: the grant would expire before it can be renewed");
   if (quota.registration_duration_ms < quota.grant_duration_ms)
     section.add_error("seat_s", "is shorter than share_ms");
 }
@@ -148,7 +152,7 @@
                                                      {{"text", LogFormat::text}, {"json", LogFormat::json}});
   options.counters_interval_ms = section.seconds_as_ms("counters_every_s", 0);
   if (options.counters_interval_ms > 0 && options.counters_interval_ms < min_counters_interval_ms)
-    section.add_error("counters_every_s", "is under a second");
+    section.add_error("counters_every_s", "is above 0 and below 1 second");
   section.reject_unknown_keys();
 }
 
@@ -158,7 +162,8 @@
   if (memory_mb > 0) options.max_memory_bytes = static_cast<std::size_t>(memory_mb * bytes_per_mb);
   const int sockets = section.integer("sockets", 0, 0, max_sockets);
   if (sockets > 0) {
-    if (sockets < min_sockets) section.add_error("sockets", "allows too few");
+    if (sockets < min_sockets)
+      section.add_error("sockets", "is too low: too few descriptors would be left for connections");
     options.max_descriptors = static_cast<std::size_t>(sockets);
   }
   section.reject_unknown_keys();
@@ -167,7 +172,7 @@
 void decode_budgets(const toml::table& table, ConfigDiagnostics& diagnostics, Options& options) {
   TomlSection section(table, "budgets", diagnostics);
   if (!options.cluster || options.cluster->voters.empty())
-    section.add_error("share_ms", "needs a leader: members.voters is missing");
+    section.add_error("share_ms", "requires a leader: members.voters is missing or empty");
   const QuotaConfig quota =
       decode_quota_options(section, options.cluster.value_or(ClusterNode::Config{}), diagnostics);
   if (options.cluster) options.cluster->quota = quota;
--- a/src/config/options.h
+++ b/src/config/options.h
@@ -1,5 +1,6 @@
 /// \file
-/// The options file: TOML with what the operators' JSON config doesn't hold. Without one the defaults apply.
+/// The options file: TOML with the settings that the operators' JSON config doesn't contain. Without an
+/// options file the defaults apply.
 #pragma once
 
 #include <toml++/toml.h>
@@ -17,9 +18,9 @@
 struct Options {
   LogLevel log_level = LogLevel::info;
   LogFormat log_format = LogFormat::text;
-  double counters_interval_ms = 0;  ///< between log lines with the counters; 0: only on request
+  double counters_interval_ms = 0;  ///< interval of log lines with the counters; 0: only on request
 
-  // The lower bound of these and those in the config holds.
+  // For each of these limits, the lower of the values here and in the config applies.
   std::size_t max_descriptors = std::numeric_limits<std::size_t>::max();
   std::size_t max_memory_bytes = std::numeric_limits<std::size_t>::max();
 
--- a/src/config/parse_error.h
+++ b/src/config/parse_error.h
@@ -1,5 +1,5 @@
 /// \file
-/// Errors in bytes from outside, such as messages of the discovery agent.
+/// Errors in external input, such as messages of the discovery agent.
 #pragma once
 
 #include <stdexcept>
@@ -8,14 +8,14 @@
 
 namespace indigorill {
 
-/// Input that is not what it has to be. `what()` is one line that names the message, the field and the cause.
+/// Malformed input. `what()` is one line that names the message, the field and the cause.
 class ParseError : public std::runtime_error {
  public:
-  /// `message` says it all: no object and no field is known.
+  /// `message` is the complete description; the object and the field are unknown.
   explicit ParseError(const std::string& message) : std::runtime_error(message), cause_(message) {}
 
-  /// `object_path` names the object, as in "list.instances"; `field` is empty if the object as a whole is
-  /// meant.
+  /// `object_path` names the object, as in "list.instances"; `field` is empty if the error concerns the
+  /// object as a whole.
   ParseError(std::string object_path, std::string field, std::string cause)
       : std::runtime_error(object_path + ": " + (field.empty() ? "" : "field " + field + " ") + cause),
         object_path_(std::move(object_path)),
--- a/src/config/sidecar_config.cpp
+++ b/src/config/sidecar_config.cpp
@@ -14,7 +14,7 @@
 constexpr const char* config_variable = "LB_CONFIG";
 constexpr const char* inherited_fd_variable = "LB_INHERITED_FD";
 
-// The operators' stated limits hold also where the config allows more.
+// Limits that the operators have set; they apply even if the config allows more.
 constexpr double max_memory_mb = 192;
 constexpr double max_sockets = 1024;
 constexpr double bytes_per_mb = 1024 * 1024;
@@ -29,14 +29,14 @@
 constexpr EnvironmentOverride listen_override{"LB_LISTEN", "listen"};
 constexpr EnvironmentOverride discovery_override{"LB_DISCOVERY", "discovery"};
 constexpr EnvironmentOverride admin_override{"LB_ADMIN_ADDR", "admin_addr"};
-// What only the environment says is put into the config under the name of its variable.
+// Values that only the environment provides are added to the config under the name of their variable.
 constexpr EnvironmentOverride inherited_fd_override{inherited_fd_variable, inherited_fd_variable};
 constexpr EnvironmentOverride shared_directory_override{"TMPDIR", "TMPDIR"};
 
 nlohmann::json read_json_file(const std::string& path, const EnvironmentLookup& environment,
                               std::initializer_list<EnvironmentOverride> overrides) {
   if (path.empty())
-    throw ConfigError({.file = {}, .field = config_variable, .cause = "names no config file"});
+    throw ConfigError({.file = {}, .field = config_variable, .cause = "does not name a config file"});
   std::ifstream file(path);
   if (!file) throw ConfigError({.file = path, .field = {}, .cause = "config file can't be read"});
   nlohmann::json config = nlohmann::json::parse(file, nullptr, false);
@@ -78,7 +78,7 @@
   const auto [parsed_to, error] = std::from_chars(text.data(), last, fd);
   if (error != std::errc() || parsed_to != last || fd < 0)
     throw ConfigError(
-        {.file = {}, .field = inherited_fd_variable, .cause = "is not the number of a descriptor"});
+        {.file = {}, .field = inherited_fd_variable, .cause = "is not a file descriptor number"});
   decoded.inherited_listener_fd = fd;
 }
 
@@ -98,7 +98,8 @@
   const JsonFields limits = config.object("limits");
   const double memory_mb = limits.number("memory_mb", max_memory_mb);
   const double sockets = limits.number("sockets", max_sockets);
-  if (!(memory_mb > 0) || !(sockets > 0)) config.fail_field("limits", "allows nothing");
+  if (!(memory_mb > 0) || !(sockets > 0))
+    config.fail_field("limits", "has a memory_mb or sockets value that is not above 0");
   decoded.max_memory_bytes = static_cast<std::size_t>(std::min(memory_mb, max_memory_mb) * bytes_per_mb);
   decoded.max_descriptors = static_cast<std::size_t>(std::min(sockets, max_sockets));
 }
@@ -114,7 +115,7 @@
   decoded.upstream = decode_connection_config(settings);
 }
 
-// Each decodes a part on its own, so that a check can go on after a problem.
+// Each function decodes one part independently, so that a check can continue after a problem.
 using PartDecoder = void (*)(const JsonFields& config, SidecarConfig& decoded);
 constexpr PartDecoder part_decoders[] = {
     decode_name,
@@ -135,7 +136,7 @@
   return ConfigError({.file = {}, .field = std::move(field), .cause = error.cause()});
 }
 
-/// Runs a step of decoding; ParseError, which knows nothing of configuration, becomes ConfigError.
+/// Runs a step of decoding and converts ParseError, which is not specific to configuration, to ConfigError.
 template <class Step>
 void run_step(Step&& step) {
   try {
--- a/src/config/sidecar_config.h
+++ b/src/config/sidecar_config.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a sidecar is configured with: the operators' JSON config, with environment variables that override
-/// it.
+/// The configuration of a sidecar: the operators' JSON config, some fields of which environment variables can
+/// override.
 #pragma once
 
 #include <netinet/in.h>
@@ -25,30 +25,30 @@
   std::string discovery_host;  ///< the discovery agent as configured, "address:port"
   sockaddr_in discovery_address{};
   sockaddr_in listen_address{};
-  std::optional<sockaddr_in> admin_address;  ///< the second address, for operators
+  std::optional<sockaddr_in> admin_address;  ///< address for requests of operators; empty if there is none
 
-  /// The clients' listener, if the platform opened it and keeps it open over restarts.
+  /// Descriptor of the clients' listening socket, if the platform opened it and keeps it open over restarts.
   std::optional<int> inherited_listener_fd;
 
-  /// Where the parent and the child process of a hot restart share files; empty if there is none.
+  /// Directory in which the parent and the child process of a hot restart share files; empty if not set.
   std::string shared_directory;
 
-  std::uint64_t seed = 0;  ///< of the random numbers
+  std::uint64_t seed = 0;  ///< seed of the random numbers
   std::size_t max_descriptors = 0;
   std::size_t max_memory_bytes = 0;
-  double counters_interval_ms = 0;  ///< between log lines with the counters; 0: only on request
+  double counters_interval_ms = 0;  ///< interval of log lines with the counters; 0: only on request
 
-  EndpointListUpdate initial_endpoints;  ///< the list to start with, until discovery responds
+  EndpointListUpdate initial_endpoints;  ///< endpoint list that is used until discovery responds
   LoadBalancerConfig load_balancer;
   ConnectionConfig upstream;
-  std::optional<ClusterNode::Config> cluster;  ///< empty: the sidecar doesn't communicate with others
+  std::optional<ClusterNode::Config> cluster;  ///< empty if the sidecar doesn't communicate with others
 };
 
 /// Reads the file that LB_CONFIG names. Throws ConfigError.
 SidecarConfig load_sidecar_config(const EnvironmentLookup& environment);
 
-/// Reads the same file again, while the sidecar runs. LB_DISCOVERY doesn't override it this time: the file is
-/// newer than the environment of the process. Throws ConfigError.
+/// Reads the same file again while the sidecar runs. LB_DISCOVERY doesn't override the file here, because the
+/// file is newer than the environment of the process. Throws ConfigError.
 SidecarConfig reload_sidecar_config(const EnvironmentLookup& environment);
 
 /// The config file as JSON, after the environment variables have overridden its fields. Throws ConfigError if
@@ -58,7 +58,7 @@
 /// Throws ConfigError with the first problem.
 SidecarConfig decode_sidecar_config(const nlohmann::json& config);
 
-/// All problems of the config.
+/// Returns all problems of the config.
 std::vector<ConfigProblem> find_sidecar_config_problems(const nlohmann::json& config);
 
 }  // namespace indigorill
--- a/src/config/toml_section.cpp
+++ b/src/config/toml_section.cpp
@@ -155,7 +155,7 @@
   return node;
 }
 
-/// Null if the key is absent or has something else than an array.
+/// Null if the key is absent or its value is not an array.
 const toml::array* TomlSection::find_array(const char* key, bool is_optional, const std::string& cause) {
   const toml::node* node = find(key, is_optional);
   if (!node) return nullptr;
--- a/src/config/toml_section.h
+++ b/src/config/toml_section.h
@@ -21,7 +21,7 @@
 /// Collects the problems of a file.
 class ConfigDiagnostics {
  public:
-  /// `region` is where the problem stands; a value that was not read from a file has no place.
+  /// `region` is the position of the problem; it has no path if the value was not read from a file.
   void add(const toml::source_region& region, const std::string& field, const std::string& cause);
 
   /// Adds a problem that `cause` describes in full.
@@ -36,8 +36,9 @@
 
 /// Reads the keys of one table. The table and the diagnostics must outlive it.
 ///
-/// A key without a default has to be there. Where a key is missing or wrong, that is added to the
-/// diagnostics, and the reader returns the default or some other value in range, so that reading can go on.
+/// A key without a default value is required. If a required key is missing or a value is invalid, a problem
+/// is added to the diagnostics, and the function returns the default or another value in range, so that
+/// reading can continue.
 class TomlSection {
  public:
   /// `name` is the dotted path of the table, empty for the root.
@@ -46,22 +47,22 @@
 
   double number(const char* key, std::optional<double> default_value, double min, double max);
 
-  /// A duration of up to a day that stands in seconds; given and returned in milliseconds.
+  /// A duration of up to a day, in seconds in the file; the default and the result are in milliseconds.
   double seconds_as_ms(const char* key, std::optional<double> default_ms);
 
-  /// A duration of up to a day that stands in milliseconds.
+  /// A duration of up to a day, in milliseconds.
   double duration_ms(const char* key, std::optional<double> default_ms);
 
   int integer(const char* key, std::optional<int> default_value, int min, int max);
   bool boolean(const char* key, bool default_value);
   std::string string(const char* key, const std::optional<std::string>& default_value);
-  std::vector<std::string> strings(const char* key);  ///< empty if absent
+  std::vector<std::string> strings(const char* key);  ///< empty if the key is absent
 
-  /// Empty if absent.
+  /// Returns an empty table or list if the key is absent.
   const toml::table& table(const char* key, bool is_required);
   std::vector<const toml::table*> tables(const char* key, bool is_required);
 
-  /// The value that `names` gives to the string at the key.
+  /// Returns the value that `names` maps the string at the key to.
   template <class T>
   T enum_value(const char* key, std::optional<T> default_value, const std::map<std::string, T>& names) {
     const toml::node* node = find(key, default_value.has_value());
--- a/src/sim_adapter/main.cpp
+++ b/src/sim_adapter/main.cpp
@@ -1,5 +1,5 @@
-// The program indigorill-sim-adapter: load balancers that decide for the simulator on standard input and
-// output.
+// The program indigorill-sim-adapter: runs load balancers for the simulator, which writes events to the
+// standard input and reads the decisions from the standard output.
 #include <exception>
 #include <iostream>
 
--- a/src/sim_adapter/sim_messages.cpp
+++ b/src/sim_adapter/sim_messages.cpp
@@ -12,12 +12,13 @@
 
 using Json = nlohmann::json;
 
-// The peer of a gossip that goes to all other sidecars.
+// Value of "peer" for gossip that goes to all other sidecars.
 constexpr std::int64_t all_peers = -1;
 
 std::int64_t to_microseconds(double ms) { return static_cast<std::int64_t>(std::ceil(ms * us_per_ms)); }
 
-// Writes one action. Fields are written one by one: building a JSON object for each took a third of a reply.
+// Writes one action. Fields are appended to the text one by one: building a JSON object for each action took
+// a third of the time of a reply.
 class MessageWriter {
  public:
   MessageWriter(const char* name, int instance) : line_("{\"" + std::string(name) + "\":{") {
--- a/src/sim_adapter/sim_messages.h
+++ b/src/sim_adapter/sim_messages.h
@@ -1,4 +1,5 @@
-/// Objects of the simulator's protocol: parts of events, and decisions as actions.
+/// \file
+/// Messages of the simulator's protocol: decodes parts of events, and encodes decisions as actions.
 #pragma once
 
 #include <string>
@@ -8,12 +9,12 @@
 
 namespace indigorill {
 
-/// Each throws ParseError for input that is not allowed.
+/// The decoding functions throw ParseError for invalid input.
 Endpoint decode_endpoint(const JsonFields& member);
 LoadReport decode_load_report(const JsonFields& event);
 AttemptOutcome decode_attempt_outcome(const JsonFields& event);
 
-/// One line with the action that an instance of the load balancer has decided on.
+/// Encodes a decision of an instance of the load balancer as an action on one line.
 std::string encode_decision(int instance, const Decision& decision);
 
 }  // namespace indigorill
--- a/src/sim_adapter/sim_protocol.cpp
+++ b/src/sim_adapter/sim_protocol.cpp
@@ -17,8 +17,8 @@
 
 using Json = nlohmann::json;
 
-// Events come in batches: SYNC with the time, events, GO. GO is answered by the actions of all instances that
-// the batch concerned, and OK.
+// Events come in batches: SYNC with the time, the events, and GO. The reply to GO consists of the actions of
+// all instances that the batch concerned, followed by OK.
 class SimProtocol {
  public:
   SimProtocol(std::istream& input, std::ostream& output) : input_(input), output_(output) {}
@@ -33,7 +33,7 @@
       const std::string& name = message.begin().key();
       dispatch(name, JsonFields(name, message.begin().value()));
     }
-    if (in_batch_) throw ParseError("GO: input ended within a batch");
+    if (in_batch_) throw ParseError("GO: is missing at the end of the input");
   }
 
  private:
@@ -55,8 +55,8 @@
         {"WHISPER", &SimProtocol::on_whisper}};
     if (name == "SYNC") return on_sync(event);
     const auto handler = handlers.find(name);
-    if (handler == handlers.end()) throw ParseError("message of unknown name " + Json(name).dump());
-    if (!in_batch_) event.fail("outside a batch");
+    if (handler == handlers.end()) throw ParseError("unknown message " + Json(name).dump());
+    if (!in_batch_) event.fail("received outside a batch");
     (this->*handler->second)(event);
   }
 
@@ -69,7 +69,7 @@
   }
 
   void on_sync(const JsonFields& event) {
-    if (in_batch_) event.fail("batch within a batch");
+    if (in_batch_) event.fail("received within a batch");
     now_ms_ = static_cast<double>(event.unsigned_integer("simTime")) / us_per_ms;
     in_batch_ = true;
     touched_instances_.clear();
@@ -135,7 +135,7 @@
   }
 
   void on_outcome(const JsonFields& event) {
-    event.string("endpoint");  // has to be there, though the attempt tells it
+    event.string("endpoint");  // required, although the attempt determines the endpoint
     find_instance(event).on_attempt_finished(
         now_ms_, event.string("ticket"), event.integer("try"), decode_attempt_outcome(event),
         event.number("elapsed") / us_per_ms, event.boolean("finished"), decode_load_report(event));
@@ -150,7 +150,7 @@
   }
 
   void on_status_back(const JsonFields& event) {
-    event.number("elapsed");  // has to be there, though nothing follows from it
+    event.number("elapsed");  // required, although the value is not used
     find_instance(event).on_probe_finished(now_ms_, event.string("endpoint"), decode_attempt_outcome(event),
                                            decode_load_report(event));
   }
--- a/src/sim_adapter/sim_protocol.h
+++ b/src/sim_adapter/sim_protocol.h
@@ -1,13 +1,14 @@
-/// The simulator's protocol, one JSON object a line: events are decoded into calls of load balancers, their
-/// decisions encoded as actions. Decides nothing.
+/// \file
+/// The simulator's protocol, with one JSON object per line: events are decoded into calls of load balancers,
+/// and their decisions are encoded as actions. This code makes no decisions itself.
 #pragma once
 
 #include <iosfwd>
 
 namespace indigorill {
 
-/// Serves batches until the end of the input. Throws ParseError for input that is not allowed, having written
-/// nothing for the batch that it is in.
+/// Processes batches until the end of the input. Throws ParseError for invalid input; nothing is then written
+/// for the batch that contains it.
 void run_sim_adapter(std::istream& input, std::ostream& output);
 
 }  // namespace indigorill
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The command line, the options file, the check of both files, and the two formats of log lines.
+/// The command line, the options file, the check of the config and the options, and the two log formats.
 #include "config/options.h"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
 namespace indigorill {
 namespace {
 
-/// A file with this text, deleted in the end.
+/// A temporary file with the given text, which the destructor deletes.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text) : path_("/tmp/indigorill-options-XXXXXX") {
@@ -79,8 +79,8 @@
   }
 }
 
-TEST_CASE("a start without a valid config prints one error and exits with status 1") {
-  CHECK(run_command({}).err == "indigorill: LB_CONFIG names no config file\n");
+TEST_CASE("startup with an invalid configuration prints the error and exits with status 1") {
+  CHECK(run_command({}).err == "indigorill: LB_CONFIG does not name a config file\n");
   CHECK(run_command({}).status == 1);
   CHECK(run_command({}, {{"LB_CONFIG", "/nowhere"}}).err ==
         "indigorill: /nowhere: config file can't be read\n");
@@ -93,7 +93,7 @@
   CHECK(result.err.find("log.level is none of debug, error, info, warning") != std::string::npos);
 }
 
-TEST_CASE("--check-config prints every problem of both files, one a line") {
+TEST_CASE("--check-config prints one line for each problem of both files") {
   const TemporaryFile good(valid_config);
   CHECK(run_command({"--check-config", "--config", good.path()}).status == 0);
   CHECK(run_command({"--check-config"}, {{"LB_CONFIG", good.path()}}).out == "sound\n");
@@ -106,7 +106,7 @@
   CHECK(two_problems.status == 1);
   CHECK(two_problems.err ==
         "config.admin_addr is not an address and a port\n"
-        "LB_INHERITED_FD is not the number of a descriptor\n");
+        "LB_INHERITED_FD is not a file descriptor number\n");
   const CommandResult wrong_fd = run_command({}, {{"LB_CONFIG", good.path()}, {"LB_INHERITED_FD", "999"}});
   CHECK(wrong_fd.status == 1);
   CHECK(wrong_fd.err == "indigorill: LB_INHERITED_FD names no listening TCP socket: 999\n");
@@ -117,10 +117,10 @@
   const CommandResult all = check_files(bad, options);
   CHECK(all.status == 1);
   CHECK(count_lines(all.err) == 9);
-  for (const char* problem :
-       {":2: log.form is none of", ":4: limits.sockets allows too few", ":5: limits.moon is unknown",
-        "config.name is", "config.discovery is", "config.seed is", "config.limits allows",
-        "config.known.generation is", "config.settings names no methods"}) {
+  for (const char* problem : {":2: log.form is none of", ":4: limits.sockets is too low",
+                              ":5: limits.moon is unknown", "config.name is", "config.discovery is",
+                              "config.seed is", "config.limits has a memory_mb or sockets value",
+                              "config.known.generation is", "config.settings lists no methods"}) {
     CAPTURE(problem);
     CHECK(all.err.find(problem) != std::string::npos);
   }
@@ -128,7 +128,7 @@
   CHECK(run_command({"--check-config", "--config", list.path()}).err == "config is not an object\n");
 }
 
-TEST_CASE("absent options have defaults; wrong ones are rejected") {
+TEST_CASE("absent options have default values and invalid options are rejected") {
   const Options defaults = decode_options(toml::table{});
   CHECK(defaults.log_level == LogLevel::info);
   CHECK(defaults.log_format == LogFormat::text);
@@ -150,7 +150,7 @@
   }
 }
 
-TEST_CASE("log lines are text, or JSON objects with the same text") {
+TEST_CASE("log lines are text or JSON objects with the same text") {
   std::ostringstream text;
   std::ostringstream json;
   {
@@ -182,7 +182,7 @@
   CHECK(second["text"].get<std::string>().find("a \"quoted\" line\nand {} %v") == 0);
 }
 
-TEST_CASE("every problem of the cluster options is reported, one a line") {
+TEST_CASE("each problem of the cluster options is reported on a line of its own") {
   const TemporaryFile config(valid_config);
   const auto check = [&](const std::string& text) {
     const TemporaryFile options(text);
@@ -204,14 +204,15 @@
       {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nseeds = \"x\"\n", 1, "seeds is not a list"},
       {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nseeds = [\"x\", \"127.0.0.1:1\"]\n", 2,
        "members.seeds contains the node's own address 127.0.0.1:1"},
-      {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nperiod_ms = 10\n", 2, "period_ms is under 50"},
+      {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nperiod_ms = 10\n", 2, "period_ms is below 50 ms"},
       {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\ntimeout_ms = 600\n", 1,
-       "at most half of period_ms"},
-      {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nvoters = [\"a\", \"b\"]\n", 1, "even in number"},
+       "must be above 0 and at most half of period_ms"},
+      {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nvoters = [\"a\", \"b\"]\n", 1,
+       "has an even number of names"},
       {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nvoters = [\"a\", \"a\", \"b c\"]\n", 2,
        "contains an invalid or repeated name: a"},
       {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nvoters = [\"a\"]\nlease_ms = 2000\n", 1,
-       "lease_ms is under ten times"},
+       "lease_ms is less than ten times"},
       {"[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nloud = 1\n", 1, "members.loud is unknown"},
   };
   for (const auto& expected : cases) {
@@ -231,7 +232,7 @@
   CHECK(result.err.find("config.name is not a valid name for a cluster member") != std::string::npos);
 }
 
-TEST_CASE("every problem of the quota options is reported, one a line") {
+TEST_CASE("each problem of the quota options is reported on a line of its own") {
   const TemporaryFile config(valid_config);
   const std::string members =
       "[members]\nfleet = \"a\"\nlisten = \"127.0.0.1:1\"\nvoters = [\"n\"]\nlease_ms = 6000\n";
@@ -244,15 +245,16 @@
   } cases[] = {
       {members + "[budgets]\nmost = 10\nshare_ms = 1500\n" + retries + "floor = 2\n", 0, ""},
       {members + "[budgets]\nmost = 10\nshare_ms = 1500\n" + retries + "floor = 3\n", 1,
-       "floor times most exceeds a_second"},
+       "floor multiplied by budgets.most exceeds a_second"},
       {members + "[budgets]\nmost = 10\nshare_ms = 1500\n" + retries + "floor = 0.5\n", 1,
        "is not a whole number"},
-      {members + "[budgets]\nmost = 10\nshare_ms = 2000\n" + retries, 1, "at most a third of lease_ms"},
-      {members + "[budgets]\nmost = 10\nshare_ms = 500\n" + retries, 1, "under three times timeout_ms"},
+      {members + "[budgets]\nmost = 10\nshare_ms = 2000\n" + retries, 1,
+       "must be above 0 and at most a third of lease_ms"},
+      {members + "[budgets]\nmost = 10\nshare_ms = 500\n" + retries, 1, "less than three times timeout_ms"},
       {members + "[budgets]\nmost = 10\nshare_ms = 1500\nseat_s = 1\n" + retries, 1, "shorter than share_ms"},
       {members + "[budgets]\nmost = 0\nshare_ms = 1500\n" + retries, 1, "budgets.most is 0"},
       {members + "[budgets]\nmost = 10\nshare_ms = 1500\n", 1, "no budget to allocate"},
-      {budgets + retries, 1, "needs a leader"},
+      {budgets + retries, 1, "requires a leader"},
   };
   for (const auto& expected : cases) {
     CAPTURE(expected.text);
