--- a/tests/fixtures_test.cpp
+++ b/tests/fixtures_test.cpp
@@ -1,7 +1,7 @@
-// Compatibility of bytes: each file in tests/fixtures was written by version 0.6.0, before its code was
-// renamed. Today's encoders must give exactly these bytes and today's decoders must read them, so that
-// processes of two versions understand each other and stored data stays readable. The fixtures are never
-// written by the tests: one that is missing fails.
+// Byte compatibility: version 0.6.0 wrote the files in tests/fixtures, before the names in its code were
+// changed. The current encoders must produce exactly these bytes and the current decoders must read them, so
+// that processes of two versions can communicate and stored data stays readable. The tests never write the
+// fixtures; a missing fixture fails the test.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -51,7 +51,7 @@
   return text;
 }
 
-// Compared as hexadecimal digits: a failure then shows which byte differs.
+// Compares hexadecimal digits, so that a failure shows which byte differs.
 void check_bytes(const std::string& name, const std::string& bytes) {
   CAPTURE(name);
   CHECK(to_hex(bytes) == to_hex(fixture(name)));
@@ -150,7 +150,7 @@
   }
 }
 
-// The digits of the text's numbers reach from the first to the last that one place holds.
+// The numbers include the lowest and the highest digit of the text, 0 and 89.
 LoadGossip make_load_gossip(bool complete) {
   LoadGossip gossip;
   gossip.sequence = complete ? 8099 : 91;
@@ -179,7 +179,7 @@
   return bytes.str();
 }
 
-// A UDP port that nobody has now.
+// Returns a loopback address with a UDP port that is not in use now.
 sockaddr_in free_datagram_address() {
   sockaddr_in address = host::loopback_address();
   const FileDescriptor fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
@@ -187,7 +187,7 @@
   return host::local_address(fd);
 }
 
-// Times and incarnations of this run; all else in the JSON is the same in each run.
+// Masks the incarnation, which differs between runs; the rest of the JSON is the same in each run.
 void mask_values_of_run(nlohmann::json& status) {
   REQUIRE(status.at("incarnation").is_number_unsigned());
   status["incarnation"] = 0;
@@ -222,13 +222,13 @@
 
 }  // namespace
 
-TEST_CASE("fixtures: datagrams of membership") { check_datagrams(membership_cases()); }
+TEST_CASE("fixtures: membership datagrams keep their bytes") { check_datagrams(membership_cases()); }
 
-TEST_CASE("fixtures: datagrams of the leader lease") { check_datagrams(lease_cases()); }
+TEST_CASE("fixtures: leader lease datagrams keep their bytes") { check_datagrams(lease_cases()); }
 
-TEST_CASE("fixtures: datagrams of quotas") { check_datagrams(quota_cases()); }
+TEST_CASE("fixtures: quota datagrams keep their bytes") { check_datagrams(quota_cases()); }
 
-TEST_CASE("fixtures: load gossip, alone and in its datagram") {
+TEST_CASE("fixtures: load gossip keeps its bytes alone and in its datagram") {
   for (const bool complete : {true, false}) {
     const std::string name = complete ? "load-gossip-full" : "load-gossip-changes";
     CAPTURE(name);
@@ -251,7 +251,7 @@
   }
 }
 
-TEST_CASE("fixtures: the record that each of two processes of one sidecar leaves for the other") {
+TEST_CASE("fixtures: the process records of a hot restart keep their bytes") {
   const std::vector<std::pair<std::string, ProcessRecord>> records = {
       {"starting", {ProcessRecord::ProcessState::starting, 1764633600123.25, 0, false}},
       {"serving", {ProcessRecord::ProcessState::serving, 1764633600000, 7, true}},
@@ -263,7 +263,7 @@
   }
 }
 
-TEST_CASE("fixtures: the file of endpoints that were ejected by hand") {
+TEST_CASE("fixtures: the file of manually ejected endpoints keeps its bytes") {
   const EjectionRecord ejected{9, {"a", "b c\"", "\xc3\xa9"}, {{"d", 1764633600123.25}, {"e", 1}}};
   check_bytes("ejections.json", encode(ejected));
   CHECK(decode_ejection_record(fixture("ejections.json")) == ejected);
@@ -271,7 +271,7 @@
   CHECK(decode_ejection_record(fixture("ejections-none.json")) == EjectionRecord{});
 }
 
-TEST_CASE("fixtures: a process finds the ejections and the endpoint list that a former version left") {
+TEST_CASE("fixtures: a process reads the ejections and the endpoint list of a former version") {
   TemporaryDirectory shared;
   const std::string directory = shared.path + "/indigorill-n_0_x";
   std::filesystem::create_directory(directory);
@@ -284,7 +284,7 @@
   CHECK(hot_restart.ejections() == decode_ejection_record(fixture("ejections.json")));
   CHECK(hot_restart.read_endpoint_list() == fixture("endpoint-list.json"));
   hot_restart.start([] {}, [](const EjectionRecord&) {});
-  // Its own record stands where the other process of a former version looks for it.
+  // The record of this process is in the file where a process of a former version reads it.
   const auto own = decode_process_record(read_file(directory + "/slot-0.json"));
   REQUIRE(own);
   CHECK(own->state == ProcessRecord::ProcessState::starting);
@@ -299,7 +299,7 @@
         EjectionRecord{10, {"z"}, {{"d", 1764633600123.25}, {"e", 1}}});
 }
 
-TEST_CASE("fixtures: the endpoint list that one process leaves for the next") {
+TEST_CASE("fixtures: the stored endpoint list keeps its bytes") {
   EndpointListUpdate list;
   list.version = 1234567890123;
   list.complete = true;
@@ -324,7 +324,7 @@
   }
 }
 
-TEST_CASE("fixtures: the text of /-/counters") {
+TEST_CASE("fixtures: the text of /-/counters keeps its bytes") {
   Counters counters;
   std::ostringstream zeros;
   zeros << counters;
@@ -351,14 +351,14 @@
   check_bytes("counters.txt", text.str());
 }
 
-TEST_CASE("fixtures: the JSON of /-/members and /-/budgets, without and with quotas") {
+TEST_CASE("fixtures: the JSON of /-/members and /-/budgets keeps its bytes without and with quotas") {
   for (const bool with_quota : {false, true}) {
     ClusterNode::Config config;
     config.fleet = "maps";
     config.name = "tiles-1";
     config.listen_address = free_datagram_address();
     config.advertised_address = "127.0.0.1:7900";
-    config.probe_interval_ms = 60000;  // no probe of its own within the test
+    config.probe_interval_ms = 60000;  // so long that the node sends no probe during the test
     if (with_quota) {
       config.voters = {"tiles-1"};
       QuotaConfig quota;
@@ -383,7 +383,7 @@
       REQUIRE(host::run_until(event_loop, [&] { return node.counters().received > received_before; }));
     };
     send(bytes);
-    send(bytes);     // a replay
+    send(bytes);     // replayed
     send("no msg");  // malformed
     nlohmann::json members_status = node.as_json();
     mask_values_of_run(members_status);
@@ -393,7 +393,7 @@
   }
 }
 
-TEST_CASE("fixtures: answers of the admin address, head and body") {
+TEST_CASE("fixtures: the responses of the admin server keep their bytes") {
   const std::string get_status = "GET /status HTTP/1.1\r\nHost: a\r\n\r\n";
   for (const int status : {200, 400, 404, 405, 503})
     check_bytes("admin-status-" + std::to_string(status) + ".http",
@@ -408,7 +408,7 @@
     check_bytes("admin-" + name + ".http", response_of_admin_server(text, 200, {}));
 }
 
-TEST_CASE("fixtures: an options file with every key") {
+TEST_CASE("fixtures: an options file with every key is decoded") {
   const Options options = decode_options(toml::parse(fixture("options.toml")));
   CHECK(options.log_level == LogLevel::debug);
   CHECK(options.log_format == LogFormat::json);
@@ -439,7 +439,7 @@
   CHECK(budget.window_ms == 1000);
 }
 
-TEST_CASE("fixtures: a config file with every key") {
+TEST_CASE("fixtures: a config file with every key is decoded") {
   const std::string path = std::string(INDIGORILL_FIXTURES) + "/config.json";
   const SidecarConfig config = load_sidecar_config(
       [&](const char* name) { return std::string_view(name) == "LB_CONFIG" ? path.c_str() : nullptr; });
@@ -468,7 +468,7 @@
   CHECK(config.upstream.drain_grace_ms == 1500);
 }
 
-TEST_CASE("fixtures: the settings of a load balancer with every key") {
+TEST_CASE("fixtures: load balancer settings with every key are decoded") {
   const nlohmann::json file = nlohmann::json::parse(fixture("config.json"));
   const LoadBalancerConfig config = decode_load_balancer_config(JsonFields("settings", file.at("settings")));
   REQUIRE(config.methods.size() == 4);
