--- a/src/config/command_line.cpp
+++ b/src/config/command_line.cpp
@@ -40,9 +40,8 @@
   app.add_flag("--check-config", arguments.check_only,
                "check both files, print one problem per line and exit");
   app.footer(
-      "LB_NAME, LB_LISTEN and LB_DISCOVERY override the config file; INDIGORILL_LOG overrides log.level of "
-      "the "
-      "options file.");
+      "LB_NAME, LB_LISTEN and LB_DISCOVERY override the config; INDIGORILL_LOG overrides log.level of the "
+      "options.");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
