--- a/src/emulator/simulation.cpp
+++ b/src/emulator/simulation.cpp
@@ -90,7 +90,8 @@
   const bool is_stale = state.known_changes < endpoint_changes_.size();
   if (is_stale && !state.stale) ++stale_sidecar_count_;
   state.stale = is_stale;
-  // It starts with the list as it last had it, as a sidecar finds that in its configuration.
+  // The sidecar starts with the endpoint list up to the last change that it received; a real sidecar finds
+  // that list in its configuration.
   deliver_full_list(sidecar, ListOrigin::restored);
   if (!scenario_.discovery.is_polled && state.stale) schedule_endpoint_update(sidecar);
 }
@@ -146,7 +147,8 @@
   return sidecars_[sidecar].running && sidecars_[sidecar].incarnation == incarnation;
 }
 
-// What is lost arrives after the retransmission timeout, doubled each time, as TCP sends it again.
+// A lost packet arrives after the retransmission timeout, which doubles with each further loss, as TCP sends
+// the packet again.
 double Simulation::one_way_delay(int from_zone, int to_zone) {
   constexpr double max_retransmit_ms = 10000;
   const NetworkConfig& network = scenario_.network;
--- a/src/emulator/simulation.h
+++ b/src/emulator/simulation.h
@@ -1,6 +1,7 @@
 /// \file
-/// The emulated world: applications, their sidecars with the real load balancer (or a baseline), the network,
-/// connections, servers, the discovery service and faults, as events in one queue. No sockets, no wall clock.
+/// Simulates applications, their sidecars with the real load balancer (or a baseline), the network,
+/// connections, servers, the discovery service and faults as events in one queue. It uses neither sockets nor
+/// the wall clock.
 ///
 /// The implementation is split by concern over the files simulation_*.cpp.
 #pragma once
@@ -35,10 +36,10 @@
   Simulation(const Simulation&) = delete;
   Simulation& operator=(const Simulation&) = delete;
 
-  /// Runs one event; false once the end of the run is reached.
+  /// Runs one event. Returns false once the end of the run is reached.
   bool run_next_event();
   RunMetrics run_to_end();
-  /// Whether each request that arrived is concluded, lost or still open.
+  /// Returns whether the request counts add up: each request that arrived is concluded, lost or still open.
   bool is_conserved() const;
 
   double now() const { return events_.now(); }
@@ -46,20 +47,20 @@
   std::size_t server_count() const { return servers_.size(); }
 
  private:
-  /// A server with its place in the fleet.
+  /// A server, its location in the fleet and its counters.
   struct ServerState {
     std::unique_ptr<EmulatedServer> server;
     int zone = 0;
     int cell = 0;
     double speed = 1;
     const ServerGroup* group = nullptr;
-    bool unreachable = false;  // its machine is gone: nothing is answered, not even refused
+    bool unreachable = false;  // its machine is lost: it sends no responses and no refusals
     bool draining = false;
     bool advertised = true;         // on the endpoint list
-    std::uint32_t incarnation = 0;  // of its process; connections end with it
+    std::uint32_t incarnation = 0;  // incarnation number of its process; connections end with the process
     std::uint64_t connections = 0;
-    std::uint64_t incoming_attempts = 0;  // started and not received yet
-    std::int64_t counted_second = -1;     // to which the two counts belong
+    std::uint64_t incoming_attempts = 0;  // attempts that have started, but neither arrived nor finished
+    std::int64_t counted_second = -1;     // second to which the next two counters belong
     std::uint64_t handshakes_in_second = 0;
     std::uint64_t health_checks_in_second = 0;
   };
@@ -71,21 +72,21 @@
     std::unique_ptr<BalancingPolicy> policy;
     bool running = false;
     bool executing_decisions = false;
-    bool stale = false;  // some changes of the endpoint list are unknown to it
+    bool stale = false;  // it has not received all changes of the endpoint list
     bool update_scheduled = false;
     bool subscribed = false;
-    bool full_list_next = false;    // its next poll asks for the whole list
-    std::uint32_t incarnation = 0;  // of its process
+    bool full_list_next = false;    // its next poll requests the full list
+    std::uint32_t incarnation = 0;  // incarnation number of its process
     int zone = 0;
-    double arrival_share = 0;        // of all arrivals
-    std::size_t known_changes = 0;   // how many changes of the endpoint list it knows
-    std::uint64_t pending_poll = 0;  // 0: none
+    double arrival_share = 0;        // its share of all arrivals
+    std::size_t known_changes = 0;   // number of endpoint list changes that it has received
+    std::uint64_t pending_poll = 0;  // id of the poll that it waits for; 0: none
     double poll_started_at_ms = 0;
-    std::uint64_t overdue_poll = 0;                             // its response is still taken; 0: none
-    std::vector<std::vector<IdleConnection>> idle_connections;  // by server, the last used last
+    std::uint64_t overdue_poll = 0;  // id of a timed-out poll whose response is still accepted; 0: none
+    std::vector<std::vector<IdleConnection>> idle_connections;  // by server, the most recently used last
     ConnectTimeoutEstimator connect_timeout{0};
-    std::unique_ptr<FleetLimiter> limiter;  // none: without limits
-    std::vector<char> connection_limited;   // by server, as its policy was told
+    std::unique_ptr<FleetLimiter> limiter;  // null: no limits
+    std::vector<char> connection_limited;   // for each server, the value last passed to the policy
     RandomStream arrival_random{0};
   };
   enum class AttemptPhase { connecting, sent, finished };
@@ -102,7 +103,7 @@
     std::uint64_t rpc;
     int index;
   };
-  /// An attempt on its way to the server, which may be over for the sidecar meanwhile.
+  /// An attempt in transit to the server. The sidecar may have finished it in the meantime.
   struct AttemptInTransit {
     AttemptId id;
     std::uint32_t sidecar;
@@ -118,7 +119,7 @@
     std::vector<Attempt> attempts;
     bool has_no_open_attempt() const;
   };
-  /// What an application wants, over all retries of its client.
+  /// A request of an application, with all retries of its client.
   struct ClientRequest {
     std::uint32_t sidecar;
     std::size_t method;
@@ -126,11 +127,11 @@
     double work_ms;
     int retries_left;
     double retry_delay_ms;
-    bool measured;  // it arrived after the warm-up
+    bool measured;  // whether it arrived after the warm-up
   };
   enum class RequestOutcome { ok, late, rejected, failed, unanswered, lost };
   struct ServerJob {
-    AttemptId attempt;  // rpc 0: a handshake of a health check
+    AttemptId attempt;  // rpc 0: the handshake of a health check
     std::uint32_t sidecar;
   };
   struct HealthCheck {
@@ -141,7 +142,7 @@
   };
   enum class ListOrigin { restored, discovery_response };
 
-  // simulation.cpp: set-up, and what all parts use.
+  // simulation.cpp: setup, and functions that all parts use.
   void add_initial_servers();
   void add_sidecars();
   std::unique_ptr<FleetLimiter> make_limiter(std::uint32_t sidecar) const;
@@ -292,9 +293,9 @@
 
   std::vector<Endpoint> initial_endpoints_;
   std::vector<Endpoint> endpoint_changes_;
-  std::vector<std::uint32_t> changed_servers_;  // of each of the changes
+  std::vector<std::uint32_t> changed_servers_;  // server of each entry of endpoint_changes_
   double first_change_at_ms_ = -1;
-  double discovery_free_at_ms_ = 0;  // when the discovery service has worked off its queue
+  double discovery_free_at_ms_ = 0;  // time at which the discovery service will have processed its queue
   double discovery_slowdown_ = 1;
   std::size_t discovery_queue_length_ = 0;
   std::size_t stale_sidecar_count_ = 0;
@@ -304,7 +305,7 @@
   RunMetrics metrics_;
 };
 
-/// One run under the eyes of a RuleChecker; `listener`, if any, gets the trace as well.
+/// Runs one simulation with a RuleChecker on its trace. `listener`, if not null, receives the trace as well.
 RunMetrics run_simulation(const Scenario& scenario, PolicyKind policy, std::uint64_t seed,
                           TraceListener* listener = nullptr);
 
--- a/src/emulator/simulation_attempts.cpp
+++ b/src/emulator/simulation_attempts.cpp
@@ -1,4 +1,4 @@
-// Sidecars: they execute the decisions of their policy, and carry attempts to servers and outcomes back.
+// Sidecars: they execute the decisions of their policy, send attempts to servers and receive the outcomes.
 #include <charconv>
 #include <string>
 #include <utility>
@@ -127,7 +127,8 @@
   const double started_at_ms = events_.now();
   SidecarState& state = sidecars_[sidecar];
   if (state.limiter && !state.limiter->open_connection(server_name(server), started_at_ms)) {
-    // Two decisions in the same instant: nothing was sent, and the server is not to blame.
+    // Another decision at the same time used up the limit of new connections. Nothing was sent and the server
+    // is not at fault, so the outcome is client_error.
     attempt(id).new_connection = false;
     events_.schedule(started_at_ms, EventPriority::timer, [this, id] {
       if (find_open_attempt(id)) finish_attempt(id, AttemptOutcome::client_error, {});
@@ -216,7 +217,7 @@
   if (server.draining) return respond(received, AttemptOutcome::rejected);
   jobs_[received.job] = {received.id, received.sidecar};
   server.server->submit(received.job, received.work_ms);
-  if (!open_attempt) server.server->cancel_queued(received.job);  // its connection ended right behind it
+  if (!open_attempt) server.server->cancel_queued(received.job);  // the sidecar has closed its connection
 }
 
 void Simulation::respond(const AttemptInTransit& received, AttemptOutcome outcome) {
@@ -256,7 +257,7 @@
   --servers_[attempt.server].incoming_attempts;
 }
 
-// Keeps or closes the attempt's connection, and cancels what still waits for it at the server.
+// Keeps or closes the attempt's connection. If it is closed, cancels the attempt's job in the server's queue.
 void Simulation::release_attempt(const OpenRpc& rpc, Attempt& attempt, AttemptOutcome outcome) {
   stop_counting_as_incoming(attempt);
   const bool has_response = outcome == AttemptOutcome::ok || outcome == AttemptOutcome::error ||
