--- a/src/emulator/simulation_connections.cpp
+++ b/src/emulator/simulation_connections.cpp
@@ -1,4 +1,5 @@
-// Connections: idle ones that sidecars keep, what servers accept, and the limits that sidecars keep together.
+// Connections: the idle connections of sidecars, the connections that servers accept, and the limits that all
+// sidecars observe together.
 #include <algorithm>
 
 #include "emulator/simulation.h"
@@ -7,8 +8,8 @@
 namespace {
 
 constexpr double ms_per_second = 1000;
-// Idle connections are closed after this part of the servers' idle timeout: an attempt sent while the server
-// closes the connection would be a reset.
+// Sidecars close idle connections after this fraction of the servers' idle timeout, because an attempt that
+// is sent while the server closes the connection would be reset.
 constexpr double idle_timeout_fraction = 0.75;
 
 }  // namespace
@@ -62,7 +63,7 @@
   server.health_checks_in_second = 0;
 }
 
-// False where the server's table of connections is full.
+// Returns false if the server already has its maximum number of connections.
 bool Simulation::accept_connection(ServerState& server) {
   if (server.connections >= static_cast<std::uint64_t>(server.group->max_connections)) return false;
   ++server.connections;
@@ -76,7 +77,7 @@
   return true;
 }
 
-// Of an earlier process of the server there is nothing to close.
+// Connections to an earlier process of the server ended with that process and are ignored.
 void Simulation::close_connection(std::uint32_t server, std::uint32_t incarnation) {
   ServerState& state = servers_[server];
   if (state.incarnation == incarnation && state.connections > 0) --state.connections;
@@ -86,7 +87,7 @@
   if (sidecars_[sidecar].limiter) sidecars_[sidecar].limiter->release_connection(server_name(server));
 }
 
-// Before each decision, so that the policy selects no server to which no connection may be opened.
+// Called before each decision, so that the policy knows the servers to which no new connection may be opened.
 void Simulation::apply_limits(std::uint32_t sidecar) {
   SidecarState& state = sidecars_[sidecar];
   if (!state.limiter) return;
--- a/src/emulator/simulation_discovery.cpp
+++ b/src/emulator/simulation_discovery.cpp
@@ -8,10 +8,11 @@
 namespace indigorill::emulator {
 namespace {
 
-// The sidecar's own, of a poll after an answered one and after a failed one.
+// Timeouts of the real sidecar: of a poll after a successful one, and of a poll after a failed one.
 constexpr double poll_timeout_ms = 1500;
 constexpr double repeated_poll_timeout_ms = 3000;
-constexpr double silence_timeout_ms = 1500;  // after which a subscribed sidecar takes its watch for failed
+// Silence after which a subscribed sidecar considers its watch failed.
+constexpr double silence_timeout_ms = 1500;
 constexpr int discovery_zone = 0;
 
 }  // namespace
@@ -81,7 +82,7 @@
   report_idle_connections(sidecar, server);
 }
 
-// All changes since the version that the sidecar knows.
+// Delivers all changes since the version that the sidecar knows.
 void Simulation::deliver_changes(std::uint32_t sidecar) {
   SidecarState& state = sidecars_[sidecar];
   const std::size_t first = state.known_changes;
@@ -113,7 +114,7 @@
   return endpoints;
 }
 
-// At a start, the sidecar's restored list is the one that its last process had.
+// ListOrigin::restored is used when a sidecar starts: it gets the list that its previous process had.
 void Simulation::deliver_full_list(std::uint32_t sidecar, ListOrigin origin) {
   SidecarState& state = sidecars_[sidecar];
   const bool is_response = origin == ListOrigin::discovery_response;
@@ -164,7 +165,7 @@
                    });
 }
 
-// The service works on one poll after the other; those that were given up on still fill its queue.
+// The service processes one poll at a time. Polls on which the sidecar has given up still occupy its queue.
 void Simulation::on_poll_received(std::uint32_t sidecar, std::uint64_t poll, bool full_list) {
   if (discovery_silent_) return;
   const auto max_length = static_cast<std::size_t>(scenario_.discovery.queue_capacity) + 1;
@@ -201,7 +202,7 @@
     deliver_changes(sidecar);
 }
 
-// The sidecar stops waiting for the poll, and takes its response if that comes before the next one's timeout.
+// The sidecar stops waiting for the poll, but accepts its response until the next poll times out.
 void Simulation::on_poll_timeout(std::uint32_t sidecar, std::uint64_t poll) {
   SidecarState& state = sidecars_[sidecar];
   if (!state.running || state.pending_poll != poll) return;
--- a/src/emulator/simulation_faults.cpp
+++ b/src/emulator/simulation_faults.cpp
@@ -1,5 +1,5 @@
-// Faults of the scenario. Whom each affects is drawn when it is scheduled, so that what happens until then
-// changes nothing.
+// Faults of the scenario. The sidecars or servers that a fault affects are drawn when the fault is scheduled,
+// so that events before the fault do not change them.
 #include <utility>
 
 #include "emulator/simulation.h"
@@ -17,7 +17,7 @@
     case Kind::suspend_sidecars:
     case Kind::terminate_sidecars:
     case Kind::gossip_partition:
-      return;  // refused before: find_unsupported_feature
+      return;  // rejected before the run by find_unsupported_feature()
     case Kind::restart_sidecars:
       return schedule_sidecar_restarts(fault, random);
     case Kind::lose_zone:
