--- a/src/emulator/simulation_health_checks.cpp
+++ b/src/emulator/simulation_health_checks.cpp
@@ -1,5 +1,5 @@
-// Health checks: each on an idle connection or a new one, finished at most once, by its response, a refusal
-// or its timeout.
+// Health checks: each uses an idle connection or a new one, and finishes at most once: with its response,
+// with a refused or reset connection, or with its timeout.
 #include <algorithm>
 
 #include "emulator/simulation.h"
@@ -7,7 +7,7 @@
 namespace indigorill::emulator {
 namespace {
 
-constexpr double health_check_timeout_ms = 250;  // the sidecar's own
+constexpr double health_check_timeout_ms = 250;  // the value of the real sidecar
 
 }  // namespace
 
@@ -114,7 +114,7 @@
                    [this, check, outcome] { finish_health_check(check, outcome, {}); });
 }
 
-// False where it was finished before, or its sidecar's process has ended.
+// Returns false if the check was finished before or its sidecar's process has ended.
 bool Simulation::finish_health_check(const HealthCheck& check, AttemptOutcome outcome,
                                      const LoadReport& report) {
   if (open_health_checks_.erase(check.id) == 0) return false;
--- a/src/emulator/simulation_requests.cpp
+++ b/src/emulator/simulation_requests.cpp
@@ -1,4 +1,5 @@
-// Applications: when their requests arrive, and what becomes of each over all retries of its client.
+// Applications: the arrivals of their requests, and the outcome of each request after all retries of its
+// client.
 #include <algorithm>
 #include <cmath>
 #include <string>
@@ -21,7 +22,8 @@
   return scenario_.methods[request.method].method;
 }
 
-// Arrivals are drawn at the peak rate and thinned, so that those of one sidecar do not depend on another's.
+// Arrivals are drawn at the peak rate and thinned to the current rate, so that the arrivals of one sidecar do
+// not depend on those of another.
 void Simulation::schedule_next_arrival(std::uint32_t sidecar) {
   SidecarState& state = sidecars_[sidecar];
   const double mean_interval_ms = ms_per_second / (arrival_pattern_.peak_rate * state.arrival_share);
@@ -82,7 +84,8 @@
   if (found == rpcs_.end() || found->second.concluded) return;
   const std::uint32_t sidecar = found->second.sidecar;
   found->second.concluded = true;
-  // The trace keeps the RPC open: that its client had to leave is the rule's violation.
+  // The trace gets no client_disconnected event, so the RPC stays open in it: a client that received no
+  // answer by the deadline is a violation of the rules.
   conclude_request(found->second.request, RequestOutcome::unanswered);
   sidecars_[sidecar].policy->on_client_disconnected(events_.now(), std::to_string(rpc_id));
   execute_decisions(sidecar);
@@ -98,7 +101,7 @@
   const auto arrival_second = static_cast<std::size_t>(request.arrived_at_ms / ms_per_second);
   SecondMetrics& second = second_metrics(std::min(arrival_second, last_second));
   count_outcome(outcome, second);
-  if (outcome == RequestOutcome::lost) return;  // nobody is left to whom it was worth anything
+  if (outcome == RequestOutcome::lost) return;  // its client is gone, so the request counts in no utility
   const bool is_ok = outcome == RequestOutcome::ok;
   const bool is_late = outcome == RequestOutcome::late;
   const double gained = gained_utility(method, is_ok, is_late);
@@ -142,8 +145,8 @@
   const MethodConfig& method = method_of(request);
   const bool may_retry =
       outcome == RequestOutcome::rejected || method.retry_safety == RetrySafety::idempotent;
-  const bool heeds_retry_after = client_random_.bernoulli(scenario_.clients.retry_after_compliance);
-  const double delay_ms = std::max(request.retry_delay_ms, heeds_retry_after ? retry_after_ms : 0);
+  const bool honors_retry_after = client_random_.bernoulli(scenario_.clients.retry_after_compliance);
+  const double delay_ms = std::max(request.retry_delay_ms, honors_retry_after ? retry_after_ms : 0);
   const bool in_time = events_.now() + delay_ms < request.arrived_at_ms + method.deadline_ms;
   if (!may_retry || request.retries_left <= 0 || !in_time) return conclude_request(request_id, outcome);
   --request.retries_left;
--- a/src/emulator/simulation_servers.cpp
+++ b/src/emulator/simulation_servers.cpp
@@ -1,4 +1,4 @@
-// Servers: how they join, end and come back.
+// Servers: how they are added, stopped, crashed and restarted.
 #include <utility>
 
 #include "emulator/simulation.h"
@@ -42,7 +42,8 @@
   trace(event);
 }
 
-// A lost machine says nothing any more; of an ended process the connections end and new ones are refused.
+// A lost machine sends nothing any more. If only the process ends, its connections are reset and new ones are
+// refused.
 void Simulation::stop_server(std::uint32_t server, StopCause cause) {
   ServerState& state = servers_[server];
   state.unreachable = cause == StopCause::machine_lost;
@@ -54,7 +55,7 @@
                    [this, server] { on_connections_reset(server); });
 }
 
-// The same, unexpectedly: discovery has to detect it.
+// Stops the server without notice: the discovery service has to detect it.
 void Simulation::crash_server(std::uint32_t server, StopCause cause) {
   stop_server(server, cause);
   events_.schedule(
@@ -62,7 +63,7 @@
       [this, server, incarnation = servers_[server].incarnation] { on_crash_detected(server, incarnation); });
 }
 
-// Sidecars that hold connections to the ended process see them end.
+// Removes the idle connections of all sidecars to the ended process.
 void Simulation::on_connections_reset(std::uint32_t server) {
   const std::uint32_t incarnation = servers_[server].incarnation;
   for (std::uint32_t sidecar = 0; sidecar < sidecars_.size(); ++sidecar) {
