--- a/src/emulator/event_queue.h
+++ b/src/emulator/event_queue.h
@@ -1,9 +1,9 @@
 /// \file
-/// The emulator's clock and its pending events, in a stated and reproducible order.
+/// The emulator's clock and its pending events, which run in a defined and reproducible order.
 ///
-/// Events run by time; equal times by priority (faults change the world first, then servers complete work,
-/// then the network delivers, then discovery, timers and clients); equal priorities in the order of
-/// scheduling.
+/// Events run in the order of their times. Events at the same time run by priority: faults first, then
+/// completions of work at servers, network deliveries, discovery, timers and clients. Events of equal
+/// priority run in the order in which they were scheduled.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace indigorill::emulator {
 
-/// Which of several events at the same time runs first: the lowest enumerator.
+/// Priority among events at the same time: the lowest enumerator runs first.
 enum class EventPriority : std::uint8_t { fault, server, network, discovery, timer, client };
 
 /// Runs callbacks on a virtual clock. Times are milliseconds since the start of the run.
@@ -27,13 +27,14 @@
   /// Time of the next event; the queue must not be empty.
   double next_time_ms() const { return heap_.front().time_ms; }
 
-  /// Schedules `callback`; one for the past runs now, as the clock never goes back.
+  /// Schedules `callback`. A time in the past counts as now, because the clock never goes back.
   void schedule(double time_ms, EventPriority priority, Callback callback) {
     heap_.push_back({std::max(time_ms, now_ms_), priority, ++last_sequence_, std::move(callback)});
     std::push_heap(heap_.begin(), heap_.end(), runs_later);
   }
 
-  /// Runs the next event and returns true, unless it lies after `end_ms`: then the clock is set to `end_ms`.
+  /// Runs the next event and returns true. If there is none up to `end_ms`, advances the clock to `end_ms`
+  /// and returns false.
   bool run_next(double end_ms) {
     if (heap_.empty() || heap_.front().time_ms > end_ms) {
       now_ms_ = std::max(now_ms_, end_ms);
--- a/src/emulator/random_stream.h
+++ b/src/emulator/random_stream.h
@@ -1,6 +1,6 @@
 /// \file
-/// Random numbers of the emulator: one stream for each purpose, so that what clients request is the same
-/// whatever the policy draws, and runs of two policies on one seed can be compared in pairs.
+/// Random numbers of the emulator, with one stream for each purpose. Client requests therefore do not depend
+/// on the draws of the policy, and runs of two policies with the same seed can be compared in pairs.
 #pragma once
 
 #include <cmath>
@@ -9,7 +9,7 @@
 
 namespace indigorill::emulator {
 
-/// What a stream is drawn for. The values enter the seeds: append, never reorder.
+/// Purpose of a random stream. The values are part of the seeds: append new ones, never reorder them.
 enum class RandomPurpose : std::uint64_t {
   arrivals,
   arrival_pattern,
@@ -30,7 +30,8 @@
   return hash ^ (hash >> 31);
 }
 
-/// The seed of one stream: of a purpose, and of one sidecar, server or fault where each has its own.
+/// Derives the seed of the stream for a purpose. `index` identifies the sidecar, server or fault if each of
+/// them has its own stream.
 inline std::uint64_t derive_seed(std::uint64_t seed, RandomPurpose purpose, std::uint64_t index = 0) {
   return mix_seed(mix_seed(seed, static_cast<std::uint64_t>(purpose)), index);
 }
@@ -53,7 +54,7 @@
   /// Uniform in [0, 1).
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(engine_); }
 
-  /// True with this probability; draws nothing where it is 0.
+  /// Returns true with this probability; draws nothing if it is 0.
   bool bernoulli(double probability) { return probability > 0 && uniform() < probability; }
 
   double exponential(double mean) { return mean > 0 ? -mean * std::log1p(-uniform()) : 0; }
