--- a/src/emulator/run_metrics.h
+++ b/src/emulator/run_metrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// What one run of the emulator measures.
+/// Measurements of one run of the emulator.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,8 @@
 
 namespace indigorill::emulator {
 
-/// Counts of one second: of the requests that arrived in it, and of what sidecars did in it.
+/// Counts for one second: of the requests that arrived in it, and of the attempts, handshakes, health checks
+/// and polls in it.
 struct SecondMetrics {
   double offered_utility = 0;
   double gained_utility = 0;
@@ -28,12 +29,12 @@
 };
 
 struct RunMetrics {
-  // Of the requests that arrived after the measurement's warm-up.
+  // Requests that arrived after the warm-up.
   double offered_utility = 0;
   double gained_utility = 0;
-  LatencyHistogram latency;  ///< of those answered ok, from their first arrival
+  LatencyHistogram latency;  ///< from the first arrival, of requests answered in time or late
 
-  // Of all client requests; open_at_end is the rest.
+  // Counts of all client requests by outcome; open_at_end counts those that have none.
   std::uint64_t arrived = 0;
   std::uint64_t ok = 0;
   std::uint64_t late = 0;
@@ -55,18 +56,19 @@
   std::uint64_t crashes = 0;
   std::uint64_t events = 0;
 
-  std::uint64_t peak_connections = 0;                 ///< open at one server
-  std::uint64_t peak_handshakes_per_second = 0;       ///< at one server
-  std::uint64_t peak_health_checks_per_second = 0;    ///< at one server
-  std::uint64_t peak_discovery_polls_per_second = 0;  ///< of all sidecars
+  std::uint64_t peak_connections = 0;                 ///< most open connections at one server
+  std::uint64_t peak_handshakes_per_second = 0;       ///< most in one second at one server
+  std::uint64_t peak_health_checks_per_second = 0;    ///< most in one second at one server
+  std::uint64_t peak_discovery_polls_per_second = 0;  ///< most in one second from all sidecars
   std::uint64_t limit_denials = 0;
-  double peak_slow_start_overload = 0;  ///< over the limit for it
-  /// From the first change of the endpoint list until every sidecar knew all changes; 0: never.
+  double peak_slow_start_overload = 0;  ///< highest work in a slow-start window over the limit for it
+  /// Time from the first change of the endpoint list until every sidecar knew all changes; 0 if that did not
+  /// happen.
   double endpoint_convergence_ms = 0;
 
   std::vector<SecondMetrics> seconds;
-  std::vector<RuleViolation> violations;  ///< the first ones
-  std::uint64_t violation_count = 0;      ///< of all
+  std::vector<RuleViolation> violations;  ///< the first violations
+  std::uint64_t violation_count = 0;      ///< number of all violations
 
   double utility() const { return offered_utility > 0 ? gained_utility / offered_utility : 0; }
 };
--- a/src/emulator/trace.h
+++ b/src/emulator/trace.h
@@ -1,6 +1,6 @@
 /// \file
-/// The trace of a run: what happened, for listeners such as the rule checker and the trace file. Events say
-/// what was done, not why; a listener needs neither the emulator's model nor the load balancer.
+/// The trace of a run: its events, for listeners such as the rule checker and the trace file. Events record
+/// actions without their reasons; a listener needs neither the emulator's model nor the load balancer.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,11 @@
   enum class Kind : std::uint8_t {
     server_state,  ///< a server's capacity and location; slow start from `started_at_ms` if that is over 0
     endpoint_notified,    ///< a sidecar learned a server's state and start time
-    rpc_received,         ///< by a sidecar, with its deadline and retry safety
+    rpc_received,         ///< a sidecar received an RPC, with its deadline and retry safety
     attempt_decided,      ///< the sidecar selected a server
     attempt_sent,         ///< the attempt's bytes left the sidecar
-    attempt_received,     ///< they arrived at the server; the work includes that of the handshake
-    attempt_started,      ///< the server began to work on it: from here on it has been executed
+    attempt_received,     ///< the bytes arrived at the server; the work includes that of the handshake
+    attempt_started,      ///< the server began to work on the attempt, which now counts as executed
     attempt_finished,     ///< the attempt's outcome as the sidecar sees it
     health_check_sent,    ///< a health check's bytes left the sidecar
     answered,             ///< the sidecar's final answer
@@ -44,8 +44,8 @@
   RpcAnswer answer = RpcAnswer::ok;
   EndpointState state = EndpointState::ready;
 
-  double started_at_ms = 0;  ///< of the server's process; 0: long ago
-  double work_ms = 0;        ///< on a core of speed 1
+  double started_at_ms = 0;  ///< start time of the server's process; 0: long before the run
+  double work_ms = 0;        ///< work in milliseconds on a core of speed 1
   double capacity = 0;       ///< cores times speed
   double slow_start_initial_capacity = 1;
   double slow_start_duration_ms = 0;
--- a/src/emulator/workload.h
+++ b/src/emulator/workload.h
@@ -1,6 +1,6 @@
 /// \file
-/// The load of a scenario, drawn at random: when RPCs arrive, of which methods and with how much work, and
-/// whom a fault affects. The same for all policies on one seed.
+/// The random load of a scenario: the arrival rate over time, the methods and work of RPCs, and the sidecars
+/// or servers that a fault affects. It is the same for all policies with the same seed.
 #pragma once
 
 #include <cstddef>
@@ -19,16 +19,16 @@
     bool is_burst;
   };
   std::vector<Phase> phases;  ///< in order; empty where the load has no bursts
-  double calm_rate = 0;       ///< RPCs a second outside of bursts
-  double peak_rate = 0;       ///< never exceeded, not in surges either
+  double calm_rate = 0;       ///< RPCs per second outside of bursts
+  double peak_rate = 0;       ///< upper bound of the arrival rate, surges included
 };
 
 ArrivalPattern make_arrival_pattern(const Scenario& scenario, RandomStream& random);
 
-/// RPCs a second over all sidecars at that time, without surges.
+/// RPCs per second over all sidecars at `time_ms`, without surges.
 double arrival_rate(const Scenario& scenario, const ArrivalPattern& pattern, double time_ms);
 
-/// A random share of the indices 0 .. count - 1.
+/// Draws a random sample of the indices 0 .. count - 1. `share` is the fraction of them to draw.
 std::vector<std::uint32_t> sample_indices(std::size_t count, double share, RandomStream& random);
 
 struct SampledRpc {
