--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -29,7 +29,7 @@
 }
 
 LoadBalancerConfig Scenario::load_balancer_config(int zone) const {
-  constexpr double default_max_poll_silence_ms = 10000;  // the sidecar's own default
+  constexpr double default_max_poll_silence_ms = 10000;  // default of the real sidecar
   LoadBalancerConfig config;
   for (const MethodWorkload& workload : methods) config.methods.push_back(workload.method);
   config.zone = zone_name(zone);
@@ -60,8 +60,8 @@
   for (const Fault& fault : scenario.faults) {
     if (fault.kind == Kind::suspend_sidecars || fault.kind == Kind::terminate_sidecars ||
         fault.kind == Kind::gossip_partition)
-      return "troubles stop_sidecars, end_sidecars and cut_talk befall real processes: indigorill-load plays "
-             "them";
+      return "troubles stop_sidecars, end_sidecars and cut_talk need real processes: run the scenario with "
+             "indigorill-load";
   }
   return std::nullopt;
 }
--- a/src/emulator/scenario.h
+++ b/src/emulator/scenario.h
@@ -1,6 +1,6 @@
 /// \file
-/// A scenario: the fleet, its load and its faults, as the emulator and the load generator play it. It comes
-/// from a TOML file, which is checked as a whole before anything runs.
+/// A scenario for the emulator and the load generator: the fleet, its load and its faults. It is read from a
+/// TOML file, which is checked completely before the run starts.
 ///
 /// Durations are milliseconds, rates are per second over all sidecars, work is milliseconds on a core of
 /// speed 1.
@@ -30,13 +30,13 @@
   int cells = 1;
   int max_connections = 1000;
   double speed = 1;
-  double speed_spread = 0;  ///< standard deviation over mean, between servers
+  double speed_spread = 0;  ///< standard deviation of the servers' speeds over their mean
   double slow_start_initial_capacity = 1;
   double slow_start_duration_ms = 0;
   double error_rate = 0;
 };
 
-/// A method, its share of all RPCs and what they cost a server.
+/// A method, its share of all RPCs, and the work of its RPCs at a server.
 struct MethodWorkload {
   MethodConfig method;
   double share = 1;
@@ -48,11 +48,11 @@
 struct LoadProfile {
   double rate_per_second = 0;
   ArrivalProcess process = ArrivalProcess::poisson;
-  double burst_factor = 1;  ///< bursts: the rate in a burst, over that outside of one
+  double burst_factor = 1;  ///< for bursts: rate during a burst over the rate outside of bursts
   double mean_burst_ms = 0;
   double mean_calm_ms = 0;
-  double final_rate_per_second = 0;  ///< ramp: reached at the end of the run
-  double zipf_exponent = 0;          ///< of the sidecars' shares
+  double final_rate_per_second = 0;  ///< for ramp: rate at the end of the run
+  double zipf_exponent = 0;          ///< exponent of the sidecars' shares of the load
 };
 
 struct Fault {
@@ -75,11 +75,11 @@
   } kind;
   double start_ms = 0;
   double duration_ms = 0;
-  double spread_ms = 0;  ///< the starts of the affected ones are spread over this time
-  double share = 1;      ///< of the sidecars or servers that it affects
-  double factor = 1;     ///< of the slowdown, surge or overload; the rate of errors or losses
+  double spread_ms = 0;  ///< time over which the starts at the affected sidecars or servers are spread
+  double share = 1;      ///< share of the sidecars or servers that are affected
+  double factor = 1;     ///< factor of the slowdown, surge or overload, or rate of errors or losses
   int zone = 0;
-  bool one_way = false;  ///< gossip_partition: the others still hear those that are cut off
+  bool one_way = false;  ///< for gossip_partition: the others still receive from the sidecars cut off
 };
 
 struct NetworkConfig {
@@ -98,20 +98,20 @@
   int retries = 0;
   double retry_delay_ms = 100;
   bool exponential_backoff = false;
-  double retry_after_compliance = 1;  ///< the share of clients that wait as long as a Retry-After says
+  double retry_after_compliance = 1;  ///< share of clients that wait for the time in Retry-After
 };
 
 struct DiscoveryConfig {
   bool is_polled = false;  ///< sidecars poll for the endpoint list; otherwise it is sent to them
   double delay_ms = 100;
   double spread_ms = 100;
-  double detection_ms = 1000;    ///< until a server that ended is taken off the list
-  double full_list_work_ms = 0;  ///< of the discovery service, for the whole list
-  double changes_work_ms = 0;    ///< the same, for a watch event
+  double detection_ms = 1000;    ///< time until a crashed server is removed from the list
+  double full_list_work_ms = 0;  ///< work of the discovery service for a full list
+  double changes_work_ms = 0;    ///< work of the discovery service for a watch event
   int queue_capacity = 100;
 };
 
-/// What the load balancer may do, and what the operating rules demand of it.
+/// Features that the load balancer may use, and parameters of the operating rules that it has to follow.
 struct OperatingRules {
   double drain_grace_ms = 500;
   double slow_start_overload_factor = 3;
@@ -126,11 +126,11 @@
   double cross_zone_cost = 0;
 };
 
-/// The limits that all sidecars keep together.
+/// Limits that all sidecars observe together.
 struct LimitConfig {
   FleetLimits fleet;
-  bool by_index = false;       ///< each sidecar knows which one it is
-  double instance_factor = 1;  ///< the number of instances that they are told of, over the true one
+  bool by_index = false;       ///< whether each sidecar knows its own index
+  double instance_factor = 1;  ///< number of instances given to the sidecars over the true number
   bool is_limited() const {
     return fleet.connections + fleet.handshakes_per_second + fleet.health_checks_per_second +
                fleet.discovery_polls_per_second >
@@ -138,7 +138,7 @@
   }
 };
 
-/// Membership, leases and quotas between sidecars; only where they are real processes.
+/// Membership, leases and quotas between sidecars. Used only where sidecars are real processes.
 struct GossipConfig {
   bool enabled = false;
   int voters = 3;
@@ -149,13 +149,13 @@
   double lease_ms = 10000;
   double quota_refresh_ms = 2000;
   double registration_lease_ms = 60000;
-  double retries_per_second = 0;  ///< over all sidecars; 0: no retry quota
+  double retries_per_second = 0;  ///< retry quota of all sidecars together; 0: none
   double guaranteed_minimum = 0;
   double loss_rate = 0;
   double duplicate_rate = 0;
   double delay_ms = 0;
   double jitter_ms = 0;
-  double late_rate = 0;  ///< the share of datagrams that come `late_by_ms` later
+  double late_rate = 0;  ///< share of datagrams that arrive `late_by_ms` later
   double late_by_ms = 0;
 };
 
@@ -163,7 +163,7 @@
   std::string name;
   std::uint64_t seed = 1;
   double duration_ms = 0;
-  double warmup_ms = 0;  ///< until then nothing is measured
+  double warmup_ms = 0;  ///< requests that arrive before this time are not measured
   int sidecars = 1;
   int zones = 1;
   std::vector<ServerGroup> servers;
@@ -184,11 +184,12 @@
 
 std::string zone_name(int zone);
 
-/// "s0", "s1", ...: the ids of the endpoints.
+/// The endpoint id of a server: "s0", "s1", ...
 std::string server_name(std::uint32_t server);
 std::uint32_t parse_server_index(const std::string& name);
 
-/// What in the scenario the emulator can't play, in a line; none where it can play all of it.
+/// Returns one line about features of the scenario that the emulator does not support; none if it supports
+/// all.
 std::optional<std::string> find_unsupported_feature(const Scenario& scenario);
 
 /// Throws ConfigError, with a line for each error.
--- a/src/emulator/scenario_decoder.cpp
+++ b/src/emulator/scenario_decoder.cpp
@@ -10,7 +10,7 @@
 namespace indigorill::emulator {
 namespace {
 
-constexpr double max_value = 1e9;  // of shares, weights and limits: beyond any sensible one
+constexpr double max_value = 1e9;  // upper bound of shares, weights and limits, above any sensible value
 constexpr double max_rate_per_second = 1e7;
 
 ServerGroup decode_server_group(const toml::table& table, ConfigDiagnostics& diagnostics) {
@@ -46,7 +46,7 @@
   const bool is_pareto = work.shape == Shape::pareto;
   work.spread = section.number("spread", is_pareto ? default_pareto_exponent : default_spread, 0, 100);
   if (is_pareto && work.spread <= 1)
-    section.add_error("spread", "must be over 1 for pareto, which has no mean else");
+    section.add_error("spread", "must be over 1 for pareto: the mean is infinite otherwise");
   return work;
 }
 
@@ -220,7 +220,7 @@
   return kinds;
 }
 
-// Whether the starts of the affected sidecars or servers may be spread over a time.
+// Returns whether the fault may start at different times at the affected sidecars or servers.
 bool can_be_spread(Fault::Kind kind) {
   using Kind = Fault::Kind;
   return kind == Kind::restart_sidecars || kind == Kind::suspend_sidecars ||
@@ -304,7 +304,7 @@
   top.table("ranges", false);
   top.reject_unknown_keys();
   diagnostics.throw_if_any();
-  // Errors in the search ranges come last: they refer to a scenario that is sound.
+  // The search ranges are decoded last, because they refer to values of a valid scenario.
   decode_search_ranges(table);
   return scenario;
 }
--- a/src/emulator/scenario_table.cpp
+++ b/src/emulator/scenario_table.cpp
@@ -12,7 +12,7 @@
 constexpr double max_exact_integer = 1e15;
 
 struct ParsedPath {
-  std::string parent;  // empty: the scenario itself
+  std::string parent;  // empty: the top level of the scenario
   std::string key;
 };
 
@@ -33,8 +33,8 @@
   const auto [parent, key] = split_path(path);
   toml::table* parent_table = parent.empty() ? &table : table.at_path(parent).as_table();
   if (!parent_table || key.empty() || key.find('[') != std::string::npos)
-    throw ConfigError("nothing in the scenario is named " + path);
-  // Integers stay integers: the decoder tells them from other numbers.
+    throw ConfigError("the scenario has no variable at path " + path);
+  // Whole numbers are stored as TOML integers, because the decoder distinguishes integers from other numbers.
   if (value == std::floor(value) && std::abs(value) < max_exact_integer)
     parent_table->insert_or_assign(key, static_cast<std::int64_t>(value));
   else
@@ -43,7 +43,7 @@
 
 double value_at(const toml::table& table, const std::string& path) {
   const auto value = table.at_path(path).value<double>();
-  if (!value) throw ConfigError("the scenario states no number " + path);
+  if (!value) throw ConfigError("the scenario has no number at path " + path);
   return *value;
 }
 
@@ -57,9 +57,9 @@
     const auto minimum = number_in_pair(node.as_array(), 0);
     const auto maximum = number_in_pair(node.as_array(), 1);
     if (!minimum || !maximum || *minimum > *maximum)
-      diagnostics.add(node.source(), "ranges." + path + " is not [least, most]");
+      diagnostics.add(node.source(), "ranges." + path + " is not a range [minimum, maximum]");
     else if (!table.at_path(path).value<double>())
-      diagnostics.add(node.source(), "ranges." + path + " names no number of the scenario");
+      diagnostics.add(node.source(), "ranges." + path + " does not refer to a number in the scenario");
     else
       ranges.push_back({path, *minimum, *maximum});
   }
