--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,4 +1,5 @@
-// The emulator against theory, its order and its sums; the auditor on broken records; scenarios at fault.
+// Tests of the emulator: agreement with queueing theory, order of events, request counts, the rule checker on
+// traces that violate the rules, and invalid scenarios.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -21,92 +22,98 @@
 
 namespace {
 
-// The mean wait in one queue before service begins, after a warm-up; work has mean 1.
-double mean_wait(int cores, Distribution service, double rho, std::uint64_t seed) {
-  EventQueue due;
-  std::vector<double> came;
-  double waited = 0;
-  double counted = 0;
-  constexpr std::size_t all = 60000;
-  constexpr std::size_t warm = 10000;
-  EmulatedServer queue(due, {cores, 1 << 30, 1, 1, 0, 0, 0, 0}, seed,
-                       {[&](std::uint64_t job) {
-                          if (job >= warm) waited += due.now() - came[job], ++counted;
-                        },
-                        [](std::uint64_t, EmulatedServer::JobOutcome, double) {},
-                        {}});
-  RandomStream arrivals(derive_seed(seed, RandomPurpose::arrivals));
-  RandomStream works(derive_seed(seed, RandomPurpose::arrival_pattern));
+// Returns the mean wait in ms of the jobs after the warm-up, from arrival until service begins, in one queue.
+// The mean work is 1 ms.
+double mean_wait(int cores, Distribution service, double utilization, std::uint64_t seed) {
+  EventQueue events;
+  std::vector<double> arrival_times_ms;
+  double wait_sum_ms = 0;
+  double measured_jobs = 0;
+  constexpr std::size_t job_count = 60000;
+  constexpr std::size_t warmup_job_count = 10000;
+  EmulatedServer server(events, {cores, 1 << 30, 1, 1, 0, 0, 0, 0}, seed,
+                        {[&](std::uint64_t job) {
+                           if (job >= warmup_job_count)
+                             wait_sum_ms += events.now() - arrival_times_ms[job], ++measured_jobs;
+                         },
+                         [](std::uint64_t, EmulatedServer::JobOutcome, double) {},
+                         {}});
+  RandomStream arrival_random(derive_seed(seed, RandomPurpose::arrivals));
+  RandomStream work_random(derive_seed(seed, RandomPurpose::arrival_pattern));
   std::function<void()> arrive = [&] {
-    if (came.size() >= all) return;
-    came.push_back(due.now());
-    queue.submit(came.size() - 1, works.sample(service));
-    due.schedule(due.now() + arrivals.exponential(1 / (rho * cores)), EventPriority::client, arrive);
+    if (arrival_times_ms.size() >= job_count) return;
+    arrival_times_ms.push_back(events.now());
+    server.submit(arrival_times_ms.size() - 1, work_random.sample(service));
+    events.schedule(events.now() + arrival_random.exponential(1 / (utilization * cores)),
+                    EventPriority::client, arrive);
   };
   arrive();
-  while (due.run_next(1e12)) {
+  while (events.run_next(1e12)) {
   }
-  return waited / counted;
+  return wait_sum_ms / measured_jobs;
 }
 
-double erlang_c_wait(int c, double rho) {  // mean wait of M/M/c, work of mean 1
-  const double a = rho * c;
+double erlang_c_wait(int cores, double utilization) {  // mean wait in M/M/c; the mean work is 1
+  const double offered_load = utilization * cores;
   double sum = 0;
   double term = 1;
-  for (int k = 0; k < c; ++k) sum += term, term *= a / (k + 1);
-  const double queued = term / (1 - rho);
-  return queued / (sum + queued) / (c - a);
+  for (int k = 0; k < cores; ++k) sum += term, term *= offered_load / (k + 1);
+  const double queued = term / (1 - utilization);
+  return queued / (sum + queued) / (cores - offered_load);
 }
 
-// The mean time in the system of many servers of which the emptier of `choices` gets each job.
-double time_of_choices(int choices, double rho, std::uint64_t seed) {
-  EventQueue due;
-  constexpr std::size_t servers = 300;
-  constexpr std::size_t all = 90000;
-  constexpr std::size_t warm = 30000;
-  std::vector<double> came;
-  double took = 0;
-  double counted = 0;
-  std::vector<std::unique_ptr<EmulatedServer>> farm;
-  for (std::size_t i = 0; i < servers; ++i)
-    farm.push_back(std::make_unique<EmulatedServer>(
-        due, EmulatedServer::Config{1, 1 << 30, 1, 1, 0, 0, 0, 0}, i,
+// Returns the mean time in a system of many servers, in ms. Each job goes to the server with the fewest jobs
+// in flight among `choices` servers drawn at random.
+double mean_time_with_choices(int choices, double utilization, std::uint64_t seed) {
+  EventQueue events;
+  constexpr std::size_t server_count = 300;
+  constexpr std::size_t job_count = 90000;
+  constexpr std::size_t warmup_job_count = 30000;
+  std::vector<double> arrival_times_ms;
+  double time_sum_ms = 0;
+  double measured_jobs = 0;
+  std::vector<std::unique_ptr<EmulatedServer>> servers;
+  for (std::size_t i = 0; i < server_count; ++i)
+    servers.push_back(std::make_unique<EmulatedServer>(
+        events, EmulatedServer::Config{1, 1 << 30, 1, 1, 0, 0, 0, 0}, i,
         EmulatedServer::Callbacks{{},
                                   [&](std::uint64_t job, EmulatedServer::JobOutcome, double) {
-                                    if (job >= warm && job < all) took += due.now() - came[job], ++counted;
+                                    if (job >= warmup_job_count && job < job_count)
+                                      time_sum_ms += events.now() - arrival_times_ms[job], ++measured_jobs;
                                   },
                                   {}}));
-  RandomStream arrivals(derive_seed(seed, RandomPurpose::arrivals));
-  RandomStream works(derive_seed(seed, RandomPurpose::arrival_pattern));
-  RandomStream draw(seed);
+  RandomStream arrival_random(derive_seed(seed, RandomPurpose::arrivals));
+  RandomStream work_random(derive_seed(seed, RandomPurpose::arrival_pattern));
+  RandomStream choice_random(seed);
   std::function<void()> arrive = [&] {
-    if (came.size() >= all) return;
-    came.push_back(due.now());
-    EmulatedServer* to = farm[draw.uniform_index(servers)].get();
+    if (arrival_times_ms.size() >= job_count) return;
+    arrival_times_ms.push_back(events.now());
+    EmulatedServer* chosen = servers[choice_random.uniform_index(server_count)].get();
     for (int i = 1; i < choices; ++i) {
-      EmulatedServer* other = farm[draw.uniform_index(servers)].get();
-      if (other->jobs_in_flight() < to->jobs_in_flight()) to = other;
+      EmulatedServer* other = servers[choice_random.uniform_index(server_count)].get();
+      if (other->jobs_in_flight() < chosen->jobs_in_flight()) chosen = other;
     }
-    to->submit(came.size() - 1, works.exponential(1));
-    due.schedule(due.now() + arrivals.exponential(1 / (rho * servers)), EventPriority::client, arrive);
+    chosen->submit(arrival_times_ms.size() - 1, work_random.exponential(1));
+    events.schedule(events.now() + arrival_random.exponential(1 / (utilization * server_count)),
+                    EventPriority::client, arrive);
   };
   arrive();
-  while (due.run_next(1e12)) {
+  while (events.run_next(1e12)) {
   }
-  return took / counted;
+  return time_sum_ms / measured_jobs;
 }
 
-ConfidenceInterval over_seeds(int runs, const std::function<double(std::uint64_t)>& one) {
-  std::vector<double> all;
-  for (int i = 1; i <= runs; ++i) all.push_back(one(static_cast<std::uint64_t>(i)));
-  return confidence_interval(all);
+ConfidenceInterval interval_over_seeds(int runs, const std::function<double(std::uint64_t)>& measure) {
+  std::vector<double> values;
+  for (int i = 1; i <= runs; ++i) values.push_back(measure(static_cast<std::uint64_t>(i)));
+  return confidence_interval(values);
 }
 
-bool holds(const ConfidenceInterval& s, double expected) {
-  return std::abs(s.mean - expected) <= s.half_width;
+bool contains(const ConfidenceInterval& interval, double expected) {
+  return std::abs(interval.mean - expected) <= interval.half_width;
 }
 
-// A small fleet, with all that can go wrong.
+// A small fleet with every kind of fault that the emulator supports.
 const char* rough = R"(name = "rough"
 seconds = 12
 warmup_s = 1
@@ -245,11 +252,11 @@
 
 toml::table rough_table() { return toml::parse(rough); }
 
-std::string with_line(const std::string& what, const std::string& in_place) {
+std::string with_line(const std::string& original, const std::string& replacement) {
   std::string text = rough;
-  const std::size_t at = text.find(what);
-  REQUIRE(at != std::string::npos);
-  return text.replace(at, what.size(), in_place);
+  const std::size_t position = text.find(original);
+  REQUIRE(position != std::string::npos);
+  return text.replace(position, original.size(), replacement);
 }
 
 struct Folder {
@@ -266,22 +273,22 @@
   }
 };
 
-int call(std::vector<const char*> words, std::string* out = nullptr, std::string* err = nullptr) {
-  words.insert(words.begin(), "indigorill-emulator");
-  std::ostringstream o;
-  std::ostringstream e;
-  const int status = run_command(static_cast<int>(words.size()), words.data(), o, e);
-  if (out) *out = o.str();
-  if (err) *err = e.str();
+int call(std::vector<const char*> arguments, std::string* out = nullptr, std::string* err = nullptr) {
+  arguments.insert(arguments.begin(), "indigorill-emulator");
+  std::ostringstream output;
+  std::ostringstream errors;
+  const int status = run_command(static_cast<int>(arguments.size()), arguments.data(), output, errors);
+  if (out) *out = output.str();
+  if (err) *err = errors.str();
   return status;
 }
 
 }  // namespace
 
-TEST_CASE(
-    "emulator: one queue waits as M/M/1, M/M/c and M/D/1 do, and another law of service is told apart") {
-  const auto waits = [](int cores, Distribution service, double rho) {
-    return over_seeds(10, [=](std::uint64_t seed) { return mean_wait(cores, service, rho, seed); });
+TEST_CASE("emulator: mean waits match theory for M/M/1 and M/M/c and M/D/1 but not for other distributions") {
+  const auto wait_interval = [](int cores, Distribution service, double utilization) {
+    return interval_over_seeds(
+        10, [=](std::uint64_t seed) { return mean_wait(cores, service, utilization, seed); });
   };
   const Distribution exponential{DistributionShape::exponential, 1, 1};
   const Distribution fixed{DistributionShape::fixed, 1, 1};
@@ -289,7 +296,7 @@
     const char* what;
     int cores;
     Distribution service;
-    double rho, theory;
+    double utilization, theory;
   } table[] = {
       {"M/M/1 at 0.5", 1, exponential, 0.5, 1.0},
       {"M/M/1 at 0.8", 1, exponential, 0.8, 4.0},
@@ -299,224 +306,227 @@
   };
   for (const auto& row : table) {
     CAPTURE(row.what);
-    const ConfidenceInterval s = waits(row.cores, row.service, row.rho);
-    CAPTURE(s.mean);
-    CAPTURE(s.half_width);
-    CHECK(holds(s, row.theory));
-    CHECK(s.half_width < 0.15 * row.theory);
+    const ConfidenceInterval interval = wait_interval(row.cores, row.service, row.utilization);
+    CAPTURE(interval.mean);
+    CAPTURE(interval.half_width);
+    CHECK(contains(interval, row.theory));
+    CHECK(interval.half_width < 0.15 * row.theory);
   }
   CHECK(erlang_c_wait(1, 0.8) == doctest::Approx(4));
-  CHECK_FALSE(holds(waits(1, fixed, 0.8), 4.0));
-  CHECK_FALSE(holds(waits(1, {DistributionShape::lognormal, 1, 1.6}, 0.8), 4.0));
+  CHECK_FALSE(contains(wait_interval(1, fixed, 0.8), 4.0));
+  CHECK_FALSE(contains(wait_interval(1, {DistributionShape::lognormal, 1, 1.6}, 0.8), 4.0));
 }
 
-TEST_CASE("emulator: the better of two choices gains what theory says (Mitzenmacher 2001)") {
-  constexpr double rho = 0.9;
+TEST_CASE(
+    "emulator: two random choices shorten the time in the system as theory predicts (Mitzenmacher 2001)") {
+  constexpr double utilization = 0.9;
   double theory = 0;
-  for (int i = 1; i < 8; ++i) theory += std::pow(rho, std::pow(2, i) - 2);
-  const ConfidenceInterval two =
-      over_seeds(5, [](std::uint64_t seed) { return time_of_choices(2, rho, seed); });
-  const ConfidenceInterval one =
-      over_seeds(5, [](std::uint64_t seed) { return time_of_choices(1, rho, seed); });
-  CAPTURE(two.mean);
-  CAPTURE(one.mean);
-  // The theory is of endlessly many servers; 300 of them are a few parts in a hundred off.
-  CHECK(std::abs(two.mean - theory) <= two.half_width + 0.04 * theory);
-  CHECK(one.mean > 2.5 * two.mean);
+  for (int i = 1; i < 8; ++i) theory += std::pow(utilization, std::pow(2, i) - 2);
+  const ConfidenceInterval two_choices =
+      interval_over_seeds(5, [](std::uint64_t seed) { return mean_time_with_choices(2, utilization, seed); });
+  const ConfidenceInterval one_choice =
+      interval_over_seeds(5, [](std::uint64_t seed) { return mean_time_with_choices(1, utilization, seed); });
+  CAPTURE(two_choices.mean);
+  CAPTURE(one_choice.mean);
+  // The theory assumes infinitely many servers; 300 servers deviate from it by a few percent.
+  CHECK(std::abs(two_choices.mean - theory) <= two_choices.half_width + 0.04 * theory);
+  CHECK(one_choice.mean > 2.5 * two_choices.mean);
 }
 
-TEST_CASE("emulator: laws have the means that they state") {
-  for (const Distribution l :
+TEST_CASE("emulator: samples of each distribution have its configured mean") {
+  for (const Distribution distribution :
        {Distribution{DistributionShape::fixed, 7, 0}, Distribution{DistributionShape::exponential, 7, 0},
         Distribution{DistributionShape::lognormal, 7, 0.8}, Distribution{DistributionShape::pareto, 7, 3}}) {
-    CAPTURE(static_cast<int>(l.shape));
-    const ConfidenceInterval s = over_seeds(20, [&](std::uint64_t seed) {
-      RandomStream chance(seed);
+    CAPTURE(static_cast<int>(distribution.shape));
+    const ConfidenceInterval interval = interval_over_seeds(20, [&](std::uint64_t seed) {
+      RandomStream random(seed);
       double sum = 0;
-      for (int i = 0; i < 20000; ++i) sum += chance.sample(l);
+      for (int i = 0; i < 20000; ++i) sum += random.sample(distribution);
       return sum / 20000;
     });
-    CHECK(std::abs(s.mean - 7) <= s.half_width + 0.05);
+    CHECK(std::abs(interval.mean - 7) <= interval.half_width + 0.05);
   }
 }
 
-TEST_CASE("emulator: what falls together happens in the stated order") {
-  EventQueue due;
+TEST_CASE("emulator: events at the same time run in the order of priority and scheduling") {
+  EventQueue events;
   std::string order;
-  due.schedule(5, EventPriority::client, [&] { order += "c"; });
-  due.schedule(5, EventPriority::timer, [&] { order += "t"; });
-  due.schedule(5, EventPriority::fault, [&] {
+  events.schedule(5, EventPriority::client, [&] { order += "c"; });
+  events.schedule(5, EventPriority::timer, [&] { order += "t"; });
+  events.schedule(5, EventPriority::fault, [&] {
     order += "T";
-    due.schedule(1, EventPriority::server, [&] { order += "p"; });  // for the past: now, and the clock stays
+    events.schedule(1, EventPriority::server, [&] { order += "p"; });  // scheduled in the past: runs now
   });
-  due.schedule(5, EventPriority::network, [&] { order += "n"; });
-  due.schedule(5, EventPriority::network, [&] { order += "m"; });
-  due.schedule(4, EventPriority::client, [&] { order += "0"; });
-  due.schedule(5, EventPriority::server, [&] { order += "s"; });
-  due.schedule(5, EventPriority::discovery, [&] { order += "l"; });
-  while (due.run_next(5)) CHECK(due.now() <= 5);
+  events.schedule(5, EventPriority::network, [&] { order += "n"; });
+  events.schedule(5, EventPriority::network, [&] { order += "m"; });
+  events.schedule(4, EventPriority::client, [&] { order += "0"; });
+  events.schedule(5, EventPriority::server, [&] { order += "s"; });
+  events.schedule(5, EventPriority::discovery, [&] { order += "l"; });
+  while (events.run_next(5)) CHECK(events.now() <= 5);
   CHECK(order == "0Tspnmltc");
-  CHECK_FALSE(due.run_next(9));
-  CHECK(due.now() == 9);
+  CHECK_FALSE(events.run_next(9));
+  CHECK(events.now() == 9);
 }
 
-TEST_CASE("emulator: a server stalls, slows, warms up, sheds, dies and falls") {
-  EventQueue due;
-  std::vector<std::pair<std::uint64_t, EmulatedServer::JobOutcome>> ended;
-  std::vector<double> when;
-  int falls = 0;
-  const auto make = [&](EmulatedServer::Config t) {
-    ended.clear();
-    when.clear();
+TEST_CASE("emulator: a server applies its queue capacity and faults and slow start to its jobs") {
+  EventQueue events;
+  std::vector<std::pair<std::uint64_t, EmulatedServer::JobOutcome>> finished_jobs;
+  std::vector<double> finish_times_ms;
+  int crash_count = 0;
+  const auto make_server = [&](EmulatedServer::Config config) {
+    finished_jobs.clear();
+    finish_times_ms.clear();
     return std::make_unique<EmulatedServer>(
-        due, t, 1,
+        events, config, 1,
         EmulatedServer::Callbacks{{},
-                                  [&](std::uint64_t job, EmulatedServer::JobOutcome how, double) {
-                                    ended.emplace_back(job, how);
-                                    when.push_back(due.now());
+                                  [&](std::uint64_t job, EmulatedServer::JobOutcome outcome, double) {
+                                    finished_jobs.emplace_back(job, outcome);
+                                    finish_times_ms.push_back(events.now());
                                   },
-                                  [&] { ++falls; }});
+                                  [&] { ++crash_count; }});
   };
-  const auto play = [&] {
-    while (due.run_next(due.now() + 1e6)) {
+  const auto run_all_events = [&] {
+    while (events.run_next(events.now() + 1e6)) {
     }
   };
   using Outcome = EmulatedServer::JobOutcome;
-  SUBCASE("the queue has a bound, and what is withdrawn leaves it") {
-    auto s = make({1, 1, 1, 1, 0, 0, 0, 0});
-    for (std::uint64_t job : {1, 2, 3}) s->submit(job, 10);
-    CHECK(ended == std::vector<std::pair<std::uint64_t, Outcome>>{{3, Outcome::queue_full}});
-    s->cancel_queued(2);
-    s->cancel_queued(1);  // it runs already
-    play();
-    CHECK(ended.size() == 2);
-    CHECK(when.back() == doctest::Approx(10));
+  SUBCASE("a full queue rejects jobs and a cancelled job leaves the queue") {
+    auto server = make_server({1, 1, 1, 1, 0, 0, 0, 0});
+    for (std::uint64_t job : {1, 2, 3}) server->submit(job, 10);
+    CHECK(finished_jobs == std::vector<std::pair<std::uint64_t, Outcome>>{{3, Outcome::queue_full}});
+    server->cancel_queued(2);
+    server->cancel_queued(1);  // already running, so it is not cancelled
+    run_all_events();
+    CHECK(finished_jobs.size() == 2);
+    CHECK(finish_times_ms.back() == doctest::Approx(10));
   }
-  SUBCASE("a stall puts off what runs and what begins") {
-    auto s = make({1, 5, 1, 1, 0, 0, 0, 0});
-    s->submit(1, 10);
-    s->stall(100);
-    s->submit(2, 10);
-    play();
-    CHECK(when[0] == doctest::Approx(110));
-    CHECK(when[1] == doctest::Approx(120));
+  SUBCASE("a stall delays running and new jobs") {
+    auto server = make_server({1, 5, 1, 1, 0, 0, 0, 0});
+    server->submit(1, 10);
+    server->stall(100);
+    server->submit(2, 10);
+    run_all_events();
+    CHECK(finish_times_ms[0] == doctest::Approx(110));
+    CHECK(finish_times_ms[1] == doctest::Approx(120));
   }
-  SUBCASE("slow and cold servers take longer") {
-    auto s = make({1, 5, 2, 0.25, 1000, 0, 0, 0});
-    s->submit(1, 10);
-    play();
-    CHECK(when[0] == doctest::Approx(5));
-    s->set_slowdown(3);
-    const double from = due.now();
-    s->submit(2, 10);
-    play();
-    CHECK(when[1] == doctest::Approx(from + 15));
-    s->set_slowdown(1);
-    const double cold = due.now();
-    s->restart();
-    s->submit(3, 10);
-    play();
-    CHECK(when[2] == doctest::Approx(cold + 20));
+  SUBCASE("a slowdown and slow start lengthen service times") {
+    auto server = make_server({1, 5, 2, 0.25, 1000, 0, 0, 0});
+    server->submit(1, 10);
+    run_all_events();
+    CHECK(finish_times_ms[0] == doctest::Approx(5));
+    server->set_slowdown(3);
+    const double slowed_at_ms = events.now();
+    server->submit(2, 10);
+    run_all_events();
+    CHECK(finish_times_ms[1] == doctest::Approx(slowed_at_ms + 15));
+    server->set_slowdown(1);
+    const double restarted_at_ms = events.now();
+    server->restart();
+    server->submit(3, 10);
+    run_all_events();
+    CHECK(finish_times_ms[2] == doctest::Approx(restarted_at_ms + 20));
   }
-  SUBCASE("a death loses all in hand") {
-    auto s = make({1, 5, 1, 1, 0, 0, 0, 0});
-    s->submit(1, 10);
-    s->submit(2, 10);
-    s->terminate();
-    s->submit(3, 10);
-    play();
-    CHECK(ended == std::vector<std::pair<std::uint64_t, Outcome>>{
-                       {1, Outcome::lost}, {2, Outcome::lost}, {3, Outcome::lost}});
+  SUBCASE("termination loses all jobs in flight and later ones") {
+    auto server = make_server({1, 5, 1, 1, 0, 0, 0, 0});
+    server->submit(1, 10);
+    server->submit(2, 10);
+    server->terminate();
+    server->submit(3, 10);
+    run_all_events();
+    CHECK(finished_jobs == std::vector<std::pair<std::uint64_t, Outcome>>{
+                               {1, Outcome::lost}, {2, Outcome::lost}, {3, Outcome::lost}});
   }
-  SUBCASE("overdriven while cold it falls, warm it does not") {
-    for (const bool cold : {false, true}) {
-      falls = 0;
-      auto s = make({1, 100, 1, 0.1, 100000, 0, 2, 100});
-      due.schedule(due.now() + 1, EventPriority::fault, [&] {
-        if (cold) s->restart();
+  SUBCASE("overload crashes a server in slow start but not a warmed-up one") {
+    for (const bool in_slow_start : {false, true}) {
+      crash_count = 0;
+      auto server = make_server({1, 100, 1, 0.1, 100000, 0, 2, 100});
+      events.schedule(events.now() + 1, EventPriority::fault, [&] {
+        if (in_slow_start) server->restart();
         for (std::uint64_t job = 0; job < 10; ++job)
-          s->submit(job, 5);  // 50 ms of work; 2 x 0.1 x 100 allowed
+          server->submit(job, 5);  // 50 ms of work in total; 2 x 0.1 x 100 ms are allowed
       });
-      play();
-      CHECK(falls == (cold ? 1 : 0));
-      CHECK(s->is_running() != cold);
+      run_all_events();
+      CHECK(crash_count == (in_slow_start ? 1 : 0));
+      CHECK(server->is_running() != in_slow_start);
     }
   }
 }
 
 TEST_CASE(
-    "emulator: arrived is answered and open, at every event of a rough day, and no connection is left over") {
-  for (const PolicyKind by : {PolicyKind::load_balancer, PolicyKind::two_choices}) {
-    // The last second is silent, longer than any RPC lasts and any connection rests.
-    Simulation w(decode_scenario(toml::parse(
-                     std::string(rough) +
-                     "[[trouble]]\nwhat = \"surge\"\nat_s = 10.9\nfor_s = 1.1\nfactor = 0.001\n")),
-                 by, 3);
-    std::uint64_t events = 0;
-    bool always = true;
-    while (w.run_next_event()) {
-      ++events;
-      always &= w.is_conserved();
+    "emulator: request counts add up after each event of a run with faults and no connection remains open") {
+  for (const PolicyKind policy : {PolicyKind::load_balancer, PolicyKind::two_choices}) {
+    // Almost no requests arrive in the last second, which is longer than any RPC lasts and any connection
+    // stays idle.
+    Simulation simulation(decode_scenario(toml::parse(
+                              std::string(rough) +
+                              "[[trouble]]\nwhat = \"surge\"\nat_s = 10.9\nfor_s = 1.1\nfactor = 0.001\n")),
+                          policy, 3);
+    std::uint64_t event_count = 0;
+    bool always_conserved = true;
+    while (simulation.run_next_event()) {
+      ++event_count;
+      always_conserved &= simulation.is_conserved();
     }
-    const RunMetrics f = w.run_to_end();
-    CHECK(always);
-    CHECK(events == f.events);
-    CHECK(f.arrived > 2000);
-    CHECK(f.open_at_end == 0);
-    CHECK(f.lost > 0);
-    CHECK(f.handshakes > 0);
-    for (std::uint32_t s = 0; s < w.server_count(); ++s) CHECK(w.connections_at(s) == 0);
+    const RunMetrics metrics = simulation.run_to_end();
+    CHECK(always_conserved);
+    CHECK(event_count == metrics.events);
+    CHECK(metrics.arrived > 2000);
+    CHECK(metrics.open_at_end == 0);
+    CHECK(metrics.lost > 0);
+    CHECK(metrics.handshakes > 0);
+    for (std::uint32_t server = 0; server < simulation.server_count(); ++server)
+      CHECK(simulation.connections_at(server) == 0);
   }
 }
 
-TEST_CASE("emulator: overload with a queue that never drains ends by the stated time") {
-  toml::table t = rough_table();
-  set_value(t, "load.rate", 3000);
-  set_value(t, "server[0].queue", 1000000);
-  set_value(t, "seconds", 11);
-  Simulation w(decode_scenario(t), PolicyKind::random, 1);
-  w.run_to_end();
-  CHECK(w.now() == 11500);
-  CHECK(w.is_conserved());
+TEST_CASE("emulator: a run whose queues never drain ends after its duration plus the longest deadline") {
+  toml::table scenario = rough_table();
+  set_value(scenario, "load.rate", 3000);
+  set_value(scenario, "server[0].queue", 1000000);
+  set_value(scenario, "seconds", 11);
+  Simulation simulation(decode_scenario(scenario), PolicyKind::random, 1);
+  simulation.run_to_end();
+  CHECK(simulation.now() == 11500);
+  CHECK(simulation.is_conserved());
 }
 
 TEST_CASE(
-    "emulator: the module keeps the rules on a rough day, and the auditor would have seen it break them") {
-  toml::table t = rough_table();
+    "emulator: the load balancer keeps the rules in a run with faults and random selection violates rule 4") {
+  toml::table scenario = rough_table();
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    const RunMetrics f = run_simulation(decode_scenario(t), PolicyKind::load_balancer, seed);
-    CAPTURE(f.violations.empty() ? "" : describe(f.violations[0]));
-    CHECK(f.violation_count == 0);
-    CHECK(f.crashes == 0);
-    CHECK(f.utility() > 0.3);
+    const RunMetrics metrics = run_simulation(decode_scenario(scenario), PolicyKind::load_balancer, seed);
+    CAPTURE(metrics.violations.empty() ? "" : describe(metrics.violations[0]));
+    CHECK(metrics.violation_count == 0);
+    CHECK(metrics.crashes == 0);
+    CHECK(metrics.utility() > 0.3);
   }
-  // Whoever draws without a thought pushes cold servers over.
-  set_value(t, "trouble[2].share", 0.6);
-  set_value(t, "server[0].cold_from", 0.05);
-  set_value(t, "server[0].cold_ms", 8000);
-  const RunMetrics f = run_simulation(decode_scenario(t), PolicyKind::random, 1);
-  CHECK(f.crashes > 0);
-  REQUIRE(f.violation_count > 0);
-  CHECK(f.violations[0].rule == 4);
+  // Random selection overloads servers in slow start until they crash.
+  set_value(scenario, "trouble[2].share", 0.6);
+  set_value(scenario, "server[0].cold_from", 0.05);
+  set_value(scenario, "server[0].cold_ms", 8000);
+  const RunMetrics metrics = run_simulation(decode_scenario(scenario), PolicyKind::random, 1);
+  CHECK(metrics.crashes > 0);
+  REQUIRE(metrics.violation_count > 0);
+  CHECK(metrics.violations[0].rule == 4);
 }
 
-TEST_CASE("emulator: the same seed gives the same bytes at any number of threads, another seed others") {
-  Experiment e;
-  e.base_scenario = rough_table();
-  set_value(e.base_scenario, "seconds", 11);
-  e.axes = {parse_axis("load.rate=100,200")};
-  e.policies = {PolicyKind::load_balancer, PolicyKind::true_state};
-  e.run_count = 2;
+TEST_CASE("emulator: output depends on the seed but not on the number of threads") {
+  Experiment experiment;
+  experiment.base_scenario = rough_table();
+  set_value(experiment.base_scenario, "seconds", 11);
+  experiment.axes = {parse_axis("load.rate=100,200")};
+  experiment.policies = {PolicyKind::load_balancer, PolicyKind::true_state};
+  experiment.run_count = 2;
   const auto bytes = [&](unsigned threads, std::uint64_t seed) {
-    e.threads = threads;
-    e.first_seed = seed;
-    const auto points = run_experiment(e);
-    std::ostringstream all;
-    write_summary(all, points);
-    write_seconds(all, points);
-    write_runs(all, points);
-    write_plot(all, points);
-    return all.str();
+    experiment.threads = threads;
+    experiment.first_seed = seed;
+    const auto points = run_experiment(experiment);
+    std::ostringstream output;
+    write_summary(output, points);
+    write_seconds(output, points);
+    write_runs(output, points);
+    write_plot(output, points);
+    return output.str();
   };
   const std::string one = bytes(1, 7);
   CHECK(one == bytes(4, 7));
