--- a/src/emulator/balancing_policy.cpp
+++ b/src/emulator/balancing_policy.cpp
@@ -8,7 +8,7 @@
 namespace indigorill::emulator {
 namespace {
 
-// The real load balancer.
+// Forwards all calls to the real load balancer.
 class LoadBalancerPolicy : public BalancingPolicy {
  public:
   LoadBalancerPolicy(const LoadBalancerConfig& config, std::uint64_t seed, double now_ms)
@@ -48,7 +48,7 @@
   LoadBalancer load_balancer_;
 };
 
-// As the command line and the reports have them.
+// The names of the policies on the command line and in reports.
 constexpr std::array<std::pair<const char*, PolicyKind>, 5> policy_names{
     {{"module", PolicyKind::load_balancer},
      {"random", PolicyKind::random},
--- a/src/emulator/balancing_policy.h
+++ b/src/emulator/balancing_policy.h
@@ -1,6 +1,6 @@
 /// \file
-/// What decides at an emulated sidecar: the real load balancer, or a baseline to compare it with. Baselines
-/// exist for measurements only; a real sidecar never runs one.
+/// The balancing policy of an emulated sidecar: the real load balancer, or a baseline to compare it with.
+/// Baselines exist for measurements only; a real sidecar never runs one.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,18 @@
 
 namespace indigorill::emulator {
 
-/// The interface of LoadBalancer, which documents each function. Times are milliseconds on the emulator's
-/// clock.
+/// The functions of LoadBalancer that the emulator uses; they are documented there. Times are milliseconds on
+/// the emulator's clock.
 class BalancingPolicy {
  public:
   virtual ~BalancingPolicy() = default;
-  /// `is_complete`: the whole list, otherwise changes; `is_response`: it may answer a poll.
+  /// `is_complete`: `endpoints` is the complete list, not only changes to it. `is_response`: it may be the
+  /// response to a poll.
   virtual void update_endpoints(double now_ms, bool is_complete, bool is_response,
                                 const std::vector<Endpoint>& endpoints) = 0;
   virtual void endpoint_poll_failed(double now_ms, double poll_duration_ms) = 0;
   virtual void on_rpc_arrived(double now_ms, const RpcArrival& arrival) = 0;
-  /// `concluded`: the RPC has its final answer.
+  /// `concluded`: the client already has the final answer to the RPC.
   virtual void on_attempt_finished(double now_ms, const std::string& rpc, int attempt, AttemptOutcome outcome,
                                    double duration_ms, bool concluded, const LoadReport& report) = 0;
   virtual void on_probe_finished(double now_ms, const std::string& endpoint, AttemptOutcome outcome,
@@ -39,11 +40,12 @@
 
 enum class PolicyKind { load_balancer, random, round_robin, two_choices, true_state };
 
-/// The kind with this name on the command line; none where there is none.
+/// Returns the policy with this name on the command line, or nullopt if no policy has it.
 std::optional<PolicyKind> parse_policy_kind(const std::string& name);
 std::string policy_name(PolicyKind kind);
 
-/// How long an RPC sent to this endpoint now would truly take, in milliseconds; for PolicyKind::true_state.
+/// Returns the response time in milliseconds to expect of an RPC that is sent to this endpoint now, computed
+/// from the true state of the server; for PolicyKind::true_state.
 using ResponseTimeOracle = std::function<double(const std::string& endpoint)>;
 
 std::unique_ptr<BalancingPolicy> make_policy(PolicyKind kind, const LoadBalancerConfig& config,
--- a/src/emulator/baseline_policy.cpp
+++ b/src/emulator/baseline_policy.cpp
@@ -7,7 +7,7 @@
 namespace indigorill::emulator {
 namespace {
 
-constexpr double poll_retry_ms = 1000;  // the mean; drawn from half of it to one and a half
+constexpr double poll_retry_ms = 1000;  // mean; the delay is drawn uniformly from 0.5 to 1.5 times this
 constexpr std::uint64_t poll_timer_id = 1;
 constexpr std::size_t round_robin_starts = 1 << 20;
 
@@ -26,7 +26,7 @@
       random_(seed),
       response_time_(std::move(response_time)),
       now_ms_(now_ms),
-      // At different places, or all sidecars would go round in step.
+      // Each sidecar starts at a random index; otherwise all would select the same endpoints in step.
       round_robin_index_(random_.uniform_index(round_robin_starts)) {}
 
 void BaselinePolicy::update_endpoints(double now_ms, bool is_complete, bool is_response,
@@ -110,7 +110,7 @@
   return std::nullopt;
 }
 
-// None where the RPC is over.
+// Returns nullopt if the RPC has already ended.
 std::optional<Decision> BaselinePolicy::decide_rpc(const std::string& id) {
   const auto found = rpcs_.find(id);
   if (found == rpcs_.end()) return std::nullopt;
@@ -147,7 +147,7 @@
   return decision;
 }
 
-// None where it is known that no endpoint would answer in time.
+// Returns nullopt if the policy knows the response times and none of them meets the deadline.
 std::optional<std::string> BaselinePolicy::select_endpoint(const Rpc& rpc) {
   std::vector<std::string> untried;
   for (const std::string& id : ready_ids_) {
@@ -187,7 +187,7 @@
     if (response_ms == best_ms) fastest.push_back(&id);
   }
   if (now_ms_ + best_ms > deadline_ms) return std::nullopt;
-  // Ties are broken at random: otherwise all would go to the first of the idle ones.
+  // Ties are broken at random; otherwise all RPCs would go to the first of the idle endpoints.
   return *fastest[random_.uniform_index(fastest.size())];
 }
 
--- a/src/emulator/baseline_policy.h
+++ b/src/emulator/baseline_policy.h
@@ -1,6 +1,8 @@
 /// \file
-/// Baselines: a plain load balancer around one rule of selection. It times out at the latency objective,
-/// retries elsewhere as far as the retry safety allows, and rejects where nothing is left to do.
+/// Baselines: simple load balancers that differ only in how they select an endpoint. Attempts time out at the
+/// latency objective, or one tick before the deadline if that is earlier or if late answers have a weight. An
+/// RPC is retried on untried endpoints first, as far as its retry safety and the number of attempts allow.
+/// When no further attempt is possible, it is rejected, or failed if repeating it is not safe.
 #pragma once
 
 #include <deque>
@@ -16,7 +18,7 @@
 
 class BaselinePolicy : public BalancingPolicy {
  public:
-  /// `kind`: any but PolicyKind::load_balancer.
+  /// `kind`: any policy except PolicyKind::load_balancer.
   BaselinePolicy(PolicyKind kind, const LoadBalancerConfig& config, std::uint64_t seed, double now_ms,
                  ResponseTimeOracle response_time);
 
@@ -30,7 +32,7 @@
   void on_probe_finished(double, const std::string&, AttemptOutcome, const LoadReport&) override {}
   void on_client_disconnected(double now_ms, const std::string& rpc_id) override;
   void set_idle_connections(const std::string&, std::size_t) override {}
-  /// Baselines run without limits.
+  /// Ignored, because baselines run without limits.
   void set_connection_limited(const std::string&, bool) override {}
   void on_timer(double now_ms, std::uint64_t) override { now_ms_ = now_ms; }
   std::optional<Decision> next_decision() override;
@@ -47,7 +49,7 @@
     std::vector<Attempt> attempts;
     bool concluded;
 
-    // Whether it may be sent again, or its client may send it again.
+    // Whether a further attempt is safe, and likewise a retry by the client.
     bool is_repeatable() const;
   };
 
@@ -64,7 +66,7 @@
   ResponseTimeOracle response_time_;
   double now_ms_;
   double next_poll_at_ms_ = 0;
-  double timer_at_ms_ = 0;  // to be requested; 0: none
+  double timer_at_ms_ = 0;  // time of the timer that the host has yet to set; 0: none
   bool poll_pending_ = true;
   std::size_t round_robin_index_ = 0;
   std::set<std::string> ready_endpoints_;
--- a/src/emulator/rule_checker.cpp
+++ b/src/emulator/rule_checker.cpp
@@ -8,9 +8,10 @@
 namespace indigorill::emulator {
 namespace {
 
-constexpr std::size_t max_kept_violations = 1000;  // more of them tell no more
+// Further violations are only counted, because they would add no information.
+constexpr std::size_t max_kept_violations = 1000;
 
-// Whether a server may have executed an attempt that ended like this.
+// Whether a server may have executed an attempt with this outcome.
 bool may_have_executed(AttemptOutcome outcome) {
   return outcome != AttemptOutcome::connect_failed && outcome != AttemptOutcome::rejected &&
          outcome != AttemptOutcome::client_error;
@@ -86,7 +87,7 @@
   if (event.state == EndpointState::ready)
     stop_notified_at_.erase(key);
   else
-    stop_notified_at_.emplace(key, event.time_ms);  // the first notification counts
+    stop_notified_at_.emplace(key, event.time_ms);  // keeps the time of the first notification
   if (event.started_at_ms > 0) notified_start_[key] = event.started_at_ms;
 }
 
@@ -202,7 +203,7 @@
 
 void RuleChecker::on_attempt_started(const TraceEvent& event) {
   const auto found = rpcs_.find(event.rpc);
-  if (found == rpcs_.end()) return;  // its sidecar died or has forgotten it: the server may still work
+  if (found == rpcs_.end()) return;  // the sidecar died or the RPC finished; a server may still work on it
   Rpc& rpc = found->second;
   const auto attempt = rpc.attempts.find(event.attempt);
   if (attempt == rpc.attempts.end())
@@ -261,7 +262,7 @@
   forget_if_finished(event.rpc);
 }
 
-// Of an RPC that is concluded and has no attempt in flight only the id is kept.
+// Keeps only the id of an RPC that is concluded and has no attempt in flight.
 void RuleChecker::forget_if_finished(std::uint64_t id) {
   const auto found = rpcs_.find(id);
   if (found == rpcs_.end() || !found->second.concluded) return;
@@ -270,7 +271,8 @@
       std::any_of(rpc.attempts.begin(), rpc.attempts.end(),
                   [](const auto& number_and_attempt) { return number_and_attempt.second.in_flight; });
   if (any_in_flight) return;
-  // What must not run twice is watched until the end: a cancelled attempt may start late.
+  // A non-idempotent RPC with several attempts is checked until the run ends, since a cancelled attempt may
+  // still start later.
   if (rpc.retry_safety == RetrySafety::non_idempotent && rpc.attempts.size() > 1) return;
   finished_rpcs_.insert(id);
   rpcs_.erase(found);
--- a/src/emulator/rule_checker.h
+++ b/src/emulator/rule_checker.h
@@ -1,12 +1,14 @@
 /// \file
-/// Checks the four operating rules on the trace of a run alone: it knows neither the emulator's model nor the
-/// load balancer.
+/// Checks the four operating rules. The trace of a run is its only input; it depends neither on the
+/// emulator's model nor on the load balancer's decisions.
 ///
-/// 1. Each RPC gets exactly one final answer, in time, and no attempt without it or after it.
-/// 2. What may have been executed is repeated only as far as its retry safety allows.
-/// 3. A server that drains or is gone gets nothing new once the grace period is over.
-/// 4. A server in slow start gets no more than a multiple of its capacity from sidecars that know of its
-/// start.
+/// 1. Each RPC gets exactly one final answer, by its deadline. No attempt is made for an RPC that was not
+/// received or that is already concluded.
+/// 2. An RPC that may have been executed is repeated only as far as its retry safety allows.
+/// 3. A sidecar sends no new attempt or health check to a server once the grace period is over that begins
+/// when the sidecar is notified that the server is draining or gone.
+/// 4. Within a time window, a server in slow start receives no more than a multiple of the work that it can
+/// do in the window. Work from sidecars that were not notified of its start does not count.
 #pragma once
 
 #include <array>
@@ -27,13 +29,13 @@
 struct RuleViolation {
   int rule;  ///< 1 to 4
   double time_ms;
-  std::uint64_t rpc;  ///< 0: concerns no RPC
+  std::uint64_t rpc;  ///< 0 if the violation concerns no RPC
   std::uint32_t server;
   std::uint32_t sidecar;
   std::string description;
 };
 
-/// The violation as one line for people.
+/// Formats the violation as one readable line.
 std::string describe(const RuleViolation& violation);
 
 class RuleChecker : public TraceListener {
@@ -48,11 +50,11 @@
 
   void on_event(const TraceEvent& event) override;
 
-  /// The first violations; count() counts all.
+  /// The first violations, up to a maximum number; count() includes all.
   const std::vector<RuleViolation>& violations() const { return violations_; }
   std::uint64_t count(int rule) const { return violation_counts_.at(static_cast<std::size_t>(rule) - 1); }
   std::uint64_t count() const;
-  /// The highest work in a slow-start window over the limit for it, over all servers.
+  /// The highest ratio over all servers of the work in a slow-start window to the limit for that work.
   double peak_slow_start_overload() const { return peak_slow_start_overload_; }
 
  private:
@@ -60,8 +62,8 @@
     std::uint32_t server;
     double decided_at_ms;
     bool in_flight = true;
-    bool possibly_executed = true;  // as the sidecar sees it
-    bool started = false;           // as the server sees it
+    bool possibly_executed = true;  // according to the sidecar
+    bool started = false;           // according to the server
     bool succeeded = false;
   };
   struct Rpc {
@@ -70,7 +72,7 @@
     DeduplicationScope deduplication_scope;
     double deduplication_window_ms;
     double deadline_ms;
-    bool concluded = false;  // answered, or its client is gone
+    bool concluded = false;  // answered, or the client disconnected
     bool answered = false;
     int executions = 0;
     std::map<int, Attempt> attempts;
@@ -86,9 +88,9 @@
     double slow_start_duration_ms = 0;
     int zone = 0;
     int cell = 0;
-    std::deque<WorkSample> recent_work;  // from sidecars that were notified of this start
+    std::deque<WorkSample> recent_work;  // work received from sidecars that were notified of this start
     double recent_work_sum = 0;
-    bool violation_reported = false;  // once for each start
+    bool violation_reported = false;  // a violation of rule 4 is reported once per start
 
     bool in_slow_start(double time_ms) const;
     double slow_start_capacity(double time_ms) const;
@@ -127,8 +129,9 @@
   std::unordered_map<std::uint64_t, Rpc> rpcs_;
   std::unordered_set<std::uint64_t> finished_rpcs_;
   std::unordered_map<std::uint32_t, Server> servers_;
-  std::map<SidecarAndServer, double> stop_notified_at_;  // when the sidecar learned that the server drains
-  std::map<SidecarAndServer, double> notified_start_;    // the server's start that the sidecar knows of
+  std::map<SidecarAndServer, double>
+      stop_notified_at_;                               // time of the first notification that the server stops
+  std::map<SidecarAndServer, double> notified_start_;  // start time of the server that the sidecar knows
   double peak_slow_start_overload_ = 0;
 };
 
