--- a/src/emulator/experiment.cpp
+++ b/src/emulator/experiment.cpp
@@ -12,7 +12,7 @@
 namespace indigorill::emulator {
 namespace {
 
-// Counts through all combinations of the axes' values, the last axis fastest.
+// Iterates over all combinations of the axes' values; the last axis varies fastest.
 class AxisCounter {
  public:
   explicit AxisCounter(const std::vector<SweepAxis>& axes) : axes_(axes), positions_(axes.size(), 0) {}
@@ -24,7 +24,7 @@
     return settings;
   }
 
-  // False after the last combination.
+  // Returns false after the last combination.
   bool advance() {
     for (std::size_t i = positions_.size(); i-- > 0;) {
       ++positions_[i];
@@ -81,7 +81,7 @@
     const std::uint64_t first_seed = experiment.first_seed > 0 ? experiment.first_seed : scenario.seed;
     for (const PolicyKind policy : experiment.policies) {
       ExperimentPoint point{.settings = settings, .policy = policy, .seeds = {}, .results = {}};
-      // The same seeds for all policies: then clients request the same, and differences are paired.
+      // All policies use the same seeds, so that clients send the same requests and differences are paired.
       for (std::size_t run = 0; run < experiment.run_count; ++run) {
         point.seeds.push_back(first_seed + run);
         requests.push_back({scenario, policy, first_seed + run});
--- a/src/emulator/experiment.h
+++ b/src/emulator/experiment.h
@@ -1,6 +1,6 @@
 /// \file
-/// Many runs of the emulator in parallel: of one scenario, over variables, and for several policies. The
-/// results depend on the experiment alone, never on the number of threads.
+/// Runs the emulator many times in parallel: one scenario with several seeds, values of variables and
+/// policies. The results do not depend on the number of threads.
 #pragma once
 
 #include <toml++/toml.h>
@@ -22,28 +22,29 @@
   std::uint64_t seed = 1;
 };
 
-/// The results in the order of the requests. Rethrows what a run throws.
+/// Returns the results in the order of the requests. If a run throws, the exception is rethrown after all
+/// runs.
 std::vector<RunMetrics> run_all(const std::vector<RunRequest>& requests, unsigned threads);
 
-/// All runs of one policy at one setting of the variables.
+/// All runs of one policy at one combination of the variables' values.
 struct ExperimentPoint {
   std::vector<VariableSetting> settings;
   PolicyKind policy = PolicyKind::load_balancer;
   std::vector<std::uint64_t> seeds;
-  std::vector<RunMetrics> results;  ///< one for each seed
+  std::vector<RunMetrics> results;  ///< one per seed, in the same order
 };
 
 struct Experiment {
   toml::table base_scenario;
   std::vector<SweepAxis> axes;
   std::vector<PolicyKind> policies{PolicyKind::load_balancer};
-  std::uint64_t first_seed = 0;  ///< 0: the scenario's
-  std::size_t run_count = 1;     ///< for each point, on seeds one after the other
+  std::uint64_t first_seed = 0;  ///< 0: the scenario's seed
+  std::size_t run_count = 1;     ///< runs per point, with consecutive seeds
   unsigned threads = 1;
 };
 
-/// Runs each policy at each combination of the axes' values; the last axis varies fastest. Throws
-/// ConfigError.
+/// Runs each policy at each combination of the axes' values; the last axis varies fastest. Throws ConfigError
+/// if a combination is not a valid scenario.
 std::vector<ExperimentPoint> run_experiment(const Experiment& experiment);
 
 }  // namespace indigorill::emulator
--- a/src/emulator/membership_experiment.cpp
+++ b/src/emulator/membership_experiment.cpp
@@ -9,11 +9,11 @@
 namespace indigorill::emulator {
 namespace {
 
-constexpr double settling_ms = 20000;             // between changes, so that one does not disturb the next
-constexpr double false_death_interval_ms = 1000;  // how often false deaths are looked for
+constexpr double settling_ms = 20000;  // pause between changes, so that one does not affect the next
+constexpr double false_death_interval_ms = 1000;  // interval between two counts of false deaths
 constexpr double ms_per_second = 1000;
 
-// Runs the steady state; each new false death counts once.
+// Runs the steady state and counts each new false death once.
 std::uint64_t count_steady_state_false_deaths(MembershipSimulation& simulation, double duration_ms) {
   std::uint64_t false_deaths = 0;
   std::uint64_t before = simulation.count_false_deaths();
@@ -42,7 +42,7 @@
   }
 }
 
-// In seconds.
+// Prints both times in seconds, or -1 for a timeout.
 void print_convergence(std::ostream& out, const ConvergenceTime& convergence) {
   constexpr int width = 10;
   for (const double time_ms : {convergence.p90_ms, convergence.all_ms})
--- a/src/emulator/membership_experiment.h
+++ b/src/emulator/membership_experiment.h
@@ -1,7 +1,7 @@
 /// \file
 /// Measures the membership protocol on an emulated network: how soon all members know of a join, a leave and
-/// a death, how often a live member is taken for dead, and what it costs each. The members and the bytes of
-/// their datagrams are the sidecar's own.
+/// a death, how often a live member is considered dead, and how much traffic each member sends. The members
+/// and their encoded datagrams come from the same code as in a sidecar.
 #pragma once
 
 #include <cstddef>
@@ -14,17 +14,17 @@
 struct MembershipExperiment {
   int sidecars = 10;
   int seeds = 3;
-  double loss = 0;  ///< the share of datagrams that is lost
+  double loss = 0;  ///< share of datagrams that are lost
   double probe_interval_ms = 1000;
   double probe_timeout_ms = 300;
   double delay_ms = 1;
   double jitter_ms = 4;
-  double steady_state_ms = 60000;          ///< over which costs and false deaths are counted
-  double convergence_timeout_ms = 300000;  ///< for each change to become known
+  double steady_state_ms = 60000;          ///< time over which traffic and false deaths are counted
+  double convergence_timeout_ms = 300000;  ///< maximum wait until each change is known to all
   std::uint64_t seed = 1;
 };
 
-/// How long until 90 % of the members, and all of them, knew of a change; -1: not within the timeout.
+/// Time until 90 % of the members, and until all of them, knew of a change; -1 if the timeout came first.
 struct ConvergenceTime {
   double p90_ms = -1;
   double all_ms = -1;
@@ -35,10 +35,11 @@
   ConvergenceTime join;
   ConvergenceTime leave;
   ConvergenceTime death;
-  std::uint64_t false_deaths = 0;   ///< live members taken for dead, by each that did so, in the steady state
-  double datagrams_per_second = 0;  ///< sent by each, in the steady state
-  double bytes_per_second = 0;      ///< the same
-  double peak_bytes_per_second = 0;  ///< of the member that sends most
+  /// Pairs of an observer and a live member that it newly considered dead, in the steady state.
+  std::uint64_t false_deaths = 0;
+  double datagrams_per_second = 0;   ///< mean sent per member, in the steady state
+  double bytes_per_second = 0;       ///< mean sent per member, in the steady state
+  double peak_bytes_per_second = 0;  ///< sent by the member that sends most, in the steady state
   std::size_t longest_datagram_bytes = 0;
 };
 
--- a/src/emulator/membership_simulation.cpp
+++ b/src/emulator/membership_simulation.cpp
@@ -8,7 +8,7 @@
 namespace indigorill::emulator {
 namespace {
 
-constexpr const char* cluster_name = "lab";  // counts into the measured bytes
+constexpr const char* cluster_name = "lab";  // part of each datagram and of the measured bytes
 constexpr std::size_t addresses_per_subnet = 250;
 
 std::string member_name(std::size_t index) { return std::string("n").append(std::to_string(index)); }
@@ -140,7 +140,7 @@
                    });
 }
 
-// Sends what the member has to send, and calls it again when its next timer is due.
+// Sends the member's pending messages and schedules its next timer.
 void MembershipSimulation::process_member(std::size_t index) {
   Node& node = nodes_[index];
   while (auto outgoing = node.membership->next_message()) send(index, std::move(*outgoing));
--- a/src/emulator/membership_simulation.h
+++ b/src/emulator/membership_simulation.h
@@ -1,5 +1,5 @@
 /// \file
-/// Members of the sidecar's membership protocol on an emulated network with losses, delay and jitter.
+/// Runs members of the sidecar's membership protocol on an emulated network with loss, delay and jitter.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,8 @@
 
 namespace indigorill::emulator {
 
-/// Members are named by index; there is one more than the experiment's number of sidecars, to join later.
+/// Members are identified by index. There is one more member than the experiment's number of sidecars, so
+/// that it can join later.
 class MembershipSimulation {
  public:
   struct Traffic {
@@ -31,10 +32,10 @@
   void crash(std::size_t index) { nodes_[index].running = false; }
 
   void run_for(double duration_ms);
-  /// Runs until all running members see these members in this state, or the timeout.
+  /// Runs until each running member sees all other subjects in this state, or until the timeout.
   ConvergenceTime wait_until_known(const std::vector<std::size_t>& subjects, Member::State state);
 
-  /// The live members that are taken for dead, by each that does so.
+  /// The number of pairs of running members in which the first considers the second dead.
   std::uint64_t count_false_deaths() const;
   void reset_traffic();
   const Traffic& traffic(std::size_t index) const { return nodes_[index].traffic; }
@@ -49,8 +50,8 @@
   };
 
   struct Knowledge {
-    std::size_t known = 0;     // pairs of an observer and a subject where it is seen in the wanted state
-    std::size_t expected = 0;  // all pairs
+    std::size_t known = 0;     // pairs in which the observer sees the subject in the expected state
+    std::size_t expected = 0;  // all pairs of a running observer and a subject
   };
 
   static bool sees(const Node& observer, std::size_t subject, Member::State state);
