--- a/src/emulator/rule_checker.h
+++ b/src/emulator/rule_checker.h
@@ -129,9 +129,10 @@
   std::unordered_map<std::uint64_t, Rpc> rpcs_;
   std::unordered_set<std::uint64_t> finished_rpcs_;
   std::unordered_map<std::uint32_t, Server> servers_;
-  std::map<SidecarAndServer, double>
-      stop_notified_at_;                               // time of the first notification that the server stops
-  std::map<SidecarAndServer, double> notified_start_;  // start time of the server that the sidecar knows
+  // Time of the sidecar's first notification that the server is draining or gone.
+  std::map<SidecarAndServer, double> stop_notified_at_;
+  // Start time of the server of which the sidecar was last notified.
+  std::map<SidecarAndServer, double> notified_start_;
   double peak_slow_start_overload_ = 0;
 };
 
