--- a/src/emulator/gnuplot.cpp
+++ b/src/emulator/gnuplot.cpp
@@ -12,9 +12,10 @@
 namespace {
 
 constexpr int data_precision = 9;
-constexpr double logarithmic_axis_ratio = 10;  // an axis over a wider range is logarithmic
+// An axis is logarithmic if its minimum is above 0 and its maximum is at least this multiple of it.
+constexpr double logarithmic_axis_ratio = 10;
 
-// `column`: gnuplot's expression of seconds.csv.
+// `column` is a gnuplot expression over the columns of seconds.csv.
 void write_panel(std::ostream& out, const std::vector<ExperimentPoint>& points, const char* title,
                  const char* column) {
   out << "set ylabel '" << title << "'\nplot ";
@@ -36,7 +37,7 @@
   return points.front().settings.size() > 1;
 }
 
-// {0} where there is no second variable.
+// Returns {0} if there is no second variable.
 std::set<double> values_of_second_variable(const std::vector<ExperimentPoint>& points) {
   if (!has_second_variable(points)) return {0};
   std::set<double> values;
@@ -57,7 +58,7 @@
 
 struct Line {
   PolicyKind policy;
-  double second_value;  // of the second variable, if there is one
+  double second_value;  // value of the second variable; 0 if there is none
 };
 
 bool is_on_line(const ExperimentPoint& point, const Line& line) {
@@ -65,7 +66,8 @@
   return point.settings.size() < 2 || point.settings[1].value == line.second_value;
 }
 
-// A data block for each line: one drawn from a filtered file would be broken at what is left out.
+// Each line has its own data block, because gnuplot interrupts a line from a filtered file at each point that
+// the filter leaves out.
 void write_data_block(std::ostream& out, const std::vector<ExperimentPoint>& points, const Line& line,
                       const Metric& metric) {
   out << std::setprecision(data_precision);
--- a/src/emulator/gnuplot.h
+++ b/src/emulator/gnuplot.h
@@ -9,8 +9,9 @@
 
 namespace indigorill::emulator {
 
-/// Without variables, courses over the seconds from seconds.csv beside the script; otherwise utility and p99
-/// over the first variable, with a line for each policy and each value of the second variable.
+/// Writes a script that plots, without variables, time series from seconds.csv in the script's folder.
+/// Otherwise it plots utility and p99 latency over the first variable, with a line for each policy and each
+/// value of the second variable.
 void write_plot(std::ostream& out, const std::vector<ExperimentPoint>& points);
 
 }  // namespace indigorill::emulator
--- a/src/emulator/latency_histogram.h
+++ b/src/emulator/latency_histogram.h
@@ -21,9 +21,9 @@
 
   std::uint64_t count() const { return count_; }
   double mean() const { return count_ > 0 ? sum_ms_ / static_cast<double>(count_) : 0; }
-  /// `fraction`: 0.99 for the 99th percentile. 0 where the histogram is empty.
+  /// `fraction` is 0.99 for the 99th percentile. Returns 0 if the histogram is empty.
   double quantile(double fraction) const;
-  /// Whether fewer than ten samples lie beyond that quantile.
+  /// Whether fewer than ten samples lie beyond the quantile of this fraction.
   bool has_too_few_samples(double fraction) const;
 
  private:
--- a/src/emulator/metric.cpp
+++ b/src/emulator/metric.cpp
@@ -9,7 +9,7 @@
 
 using Counter = std::uint64_t RunMetrics::*;
 
-// The counter over the number of requests that arrived.
+// The counter divided by the number of requests that arrived; 0 if none arrived.
 Metric per_request(const char* name, Counter counter) {
   return {name, [counter](const RunMetrics& run) {
             return run.arrived ? static_cast<double>(run.*counter) / static_cast<double>(run.arrived) : 0;
--- a/src/emulator/report.cpp
+++ b/src/emulator/report.cpp
@@ -16,7 +16,7 @@
 
 constexpr int csv_precision = 9;
 constexpr int table_precision = 4;
-constexpr std::size_t max_printed_violations = 5;  // of each point
+constexpr std::size_t max_printed_violations = 5;  // per point
 
 std::vector<double> metric_values(const ExperimentPoint& point, const Metric& metric) {
   std::vector<double> values;
@@ -46,7 +46,7 @@
   }
 }
 
-// The mean over the runs; a run that ended earlier counts as 0.
+// The mean of a field over the runs; a run that ended before this second counts as 0.
 template <class Field>
 double mean_of_second(const ExperimentPoint& point, std::size_t second, Field field) {
   double sum = 0;
--- a/src/emulator/statistics.cpp
+++ b/src/emulator/statistics.cpp
@@ -7,7 +7,7 @@
 namespace indigorill::emulator {
 
 ConfidenceInterval confidence_interval(const std::vector<double>& values) {
-  constexpr double one_sided_error = 0.025;  // of a two-sided 95 % interval
+  constexpr double one_sided_error = 0.025;  // probability on each side of a two-sided 95 % interval
   ConfidenceInterval interval;
   interval.sample_count = values.size();
   if (values.empty()) return interval;
--- a/src/emulator/worst_case_search.cpp
+++ b/src/emulator/worst_case_search.cpp
@@ -12,14 +12,15 @@
 namespace indigorill::emulator {
 namespace {
 
-// Trials are drawn in rounds of a fixed size, so that the number of threads changes nothing.
+// Trials are drawn in rounds of a fixed size, so that the result does not depend on the number of threads.
 constexpr std::size_t trials_per_round = 8;
-// A range whose bounds are further apart than this is drawn by its logarithm.
+// A range is sampled on a logarithmic scale if its minimum is above 0 and its maximum is more than this
+// multiple of it.
 constexpr double logarithmic_range_ratio = 10;
-// How far a value moves at most, as a fraction of its range, near the worst setting so far.
+// Largest step of a value from the worst trial so far, as a fraction of its range.
 constexpr double neighbour_step = 0.2;
 
-using RangeValues = std::vector<double>;  // a value for each of the ranges
+using RangeValues = std::vector<double>;  // one value per range
 
 class WorstCaseFinder {
  public:
@@ -85,7 +86,7 @@
   return found;
 }
 
-// The first half of the trials is drawn from the whole of the ranges, the second near the worst so far.
+// Draws the first half of the trials from the whole ranges, and the second half near the worst trial so far.
 WorstCaseFinder::Trial WorstCaseFinder::find_worst_trial() {
   Trial worst{base_values_, 0};
   worst.loss = evaluate_losses({make_scenario_table(base_values_)}).front().value_or(0);
@@ -146,7 +147,8 @@
   }
 }
 
-// The mean loss of utility to the baseline, for each table; none where the table is no valid scenario.
+// Returns the mean loss of utility to the baseline for each table, or nullopt if a table is not a valid
+// scenario.
 std::vector<std::optional<double>> WorstCaseFinder::evaluate_losses(const std::vector<toml::table>& tables) {
   std::vector<RunRequest> requests;
   std::vector<bool> is_valid;
@@ -179,7 +181,7 @@
   return losses;
 }
 
-// Takes the table as the smallest scenario if it still loses enough.
+// Makes the table the smallest scenario if its loss is still large enough.
 bool WorstCaseFinder::try_reduction(WorstCase& found, const toml::table& table,
                                     const std::string& description) {
   const auto loss = evaluate_losses({table}).front();
@@ -228,13 +230,13 @@
   return try_reduction(found, table, "half as long");
 }
 
-// Sets each variable back to its value in the base scenario where that still loses enough.
+// Resets each variable to its value in the base scenario if the loss is still large enough then.
 void WorstCaseFinder::reset_variables(WorstCase& found, const RangeValues& worst) {
   for (std::size_t i = 0; i < ranges_.size(); ++i) {
     const std::string& path = ranges_[i].path;
     if (worst[i] == base_values_[i]) continue;
     if (!found.smallest_scenario.at_path(path).value<double>()) continue;
-    // Paths into faults may lead elsewhere once one was removed.
+    // After a fault was removed, a path into the list of faults may refer to a different fault.
     if (path.starts_with("trouble[") && !found.reductions.empty()) continue;
     toml::table table = found.smallest_scenario;
     set_value(table, path, base_values_[i]);
--- a/src/emulator/worst_case_search.h
+++ b/src/emulator/worst_case_search.h
@@ -1,6 +1,6 @@
 /// \file
-/// Searches the scenario's ranges for the setting at which the load balancer loses most utility to a
-/// baseline, and reduces it to the smallest scenario that still loses most of that.
+/// Searches the scenario's ranges for the values at which the load balancer's utility is furthest below that
+/// of a baseline, and reduces this scenario step by step as long as most of the loss remains.
 #pragma once
 
 #include <toml++/toml.h>
@@ -18,20 +18,20 @@
   PolicyKind baseline = PolicyKind::true_state;
   std::size_t trial_count = 40;
   std::size_t runs_per_trial = 2;
-  double loss_fraction_kept = 0.8;  ///< that a reduced scenario must still lose, of the worst loss
+  double loss_fraction_kept = 0.8;  ///< fraction of the worst loss that a reduced scenario must keep
   unsigned threads = 1;
 };
 
 struct WorstCase {
   toml::table worst_scenario;
   toml::table smallest_scenario;
-  double worst_loss = 0;  ///< of utility, to the baseline
-  double smallest_loss = 0;
+  double worst_loss = 0;     ///< mean utility of the baseline minus that of the load balancer
+  double smallest_loss = 0;  ///< loss of the smallest scenario
   std::size_t run_count = 0;
-  std::vector<std::string> reductions;  ///< a line each
+  std::vector<std::string> reductions;  ///< one line for each reduction step
 };
 
-/// The result depends on the search alone, never on the number of threads. Throws ConfigError.
+/// The result does not depend on the number of threads. Throws ConfigError.
 WorstCase find_worst_case(const WorstCaseSearch& search);
 
 }  // namespace indigorill::emulator
