--- a/src/emulator/command_line.cpp
+++ b/src/emulator/command_line.cpp
@@ -34,7 +34,7 @@
   std::vector<std::string> axes;
   std::vector<std::string> policies{"module"};
   std::string baseline = "true-state";
-  std::uint64_t seed = 0;  // 0: the scenario's
+  std::uint64_t seed = 0;  // 0: the scenario's seed
   std::size_t run_count = 1;
   std::size_t trial_count = 40;
   double loss_fraction_kept = 0.8;
@@ -55,13 +55,13 @@
 
 PolicyKind require_policy_kind(const std::string& name) {
   const auto kind = parse_policy_kind(name);
-  if (!kind) throw ConfigError("no policy is named " + name);
+  if (!kind) throw ConfigError("unknown policy " + name);
   return *kind;
 }
 
 toml::table load_scenario_table(const CommandOptions& options) {
   toml::table table = read_toml_file(options.scenario_path);
-  // Checked as it stands in the file, where errors have lines.
+  // Checked before the settings are applied, so that errors name the line in the file.
   if (const auto unsupported = find_unsupported_feature(decode_scenario(table)))
     throw ConfigError(options.scenario_path + ": " + *unsupported);
   for (const std::string& text : options.settings) {
@@ -125,7 +125,7 @@
   search.loss_fraction_kept = options.loss_fraction_kept;
   search.threads = options.threads;
   if (decode_search_ranges(search.base_scenario).empty())
-    throw ConfigError(options.scenario_path + ": has no table 'ranges' to search in");
+    throw ConfigError(options.scenario_path + ": the table 'ranges' is missing; the search needs it");
   const WorstCase found = find_worst_case(search);
   out << "worst of " << options.trial_count << " days, " << found.run_count << " runs: loses "
       << found.worst_loss << " of utility to " << options.baseline << '\n';
@@ -157,71 +157,82 @@
 }
 
 void add_common_options(CLI::App& command, CommandOptions& options) {
-  command.add_option("scenario", options.scenario_path, "the scenario, a TOML file")->required();
-  command.add_option("--set", options.settings, "path=value in place of the file's, as load.rate=500");
-  command.add_option("--seed", options.seed, "the first seed, in place of the scenario's");
-  command.add_option("--threads", options.threads, "changes nothing but the time it takes")
+  command.add_option("scenario", options.scenario_path, "scenario file (TOML)")->required();
+  command.add_option("--set", options.settings,
+                     "path=value: overrides a value of the file, for example load.rate=500");
+  command.add_option("--seed", options.seed, "first seed; overrides the scenario's");
+  command.add_option("--threads", options.threads, "number of threads; the results do not depend on it")
       ->check(CLI::Range(1, 1024));
-  command.add_option("--out", options.output_directory, "a folder for the files");
+  command.add_option("--out", options.output_directory, "folder for the output files");
 }
 
 void add_runs_option(CLI::App& command, CommandOptions& options) {
-  command.add_option("--runs", options.run_count, "independent runs, on seeds one after the other")
+  command.add_option("--runs", options.run_count, "number of independent runs, with consecutive seeds")
       ->check(CLI::Range(1, 100000));
 }
 
 CLI::App* add_run_command(CLI::App& app, CommandOptions& options) {
-  CLI::App* command = app.add_subcommand("run", "one scenario");
+  CLI::App* command = app.add_subcommand("run", "run one scenario");
   add_common_options(*command, options);
   add_runs_option(*command, options);
-  command->add_option("--policy", options.policies, "module, random, round-robin, two-choices or true-state")
+  command
+      ->add_option("--policy", options.policies,
+                   "module (the load balancer), random, round-robin, two-choices or true-state")
       ->expected(1);
-  command->add_option("--log", options.trace_path, "all that happened in the first run, as JSON lines");
+  command->add_option("--log", options.trace_path, "file for the trace of the first run, as JSON lines");
   return command;
 }
 
 CLI::App* add_sweep_command(CLI::App& app, CommandOptions& options) {
-  CLI::App* command = app.add_subcommand("sweep", "one or two variables");
+  CLI::App* command = app.add_subcommand("sweep", "run a scenario over the values of one or two variables");
   add_common_options(*command, options);
   add_runs_option(*command, options);
-  command->add_option("--over", options.axes, "path=a,b,c or path=from:to:count")->required()->expected(1, 2);
+  command->add_option("--over", options.axes, "variable and its values: path=a,b,c or path=from:to:count")
+      ->required()
+      ->expected(1, 2);
   command->add_option("--policy", options.policies, "one or more policies");
   return command;
 }
 
 CLI::App* add_compare_command(CLI::App& app, CommandOptions& options) {
-  CLI::App* command = app.add_subcommand("compare", "the module beside baselines, on the same seeds");
+  CLI::App* command =
+      app.add_subcommand("compare", "compare the load balancer with baselines on the same seeds");
   add_common_options(*command, options);
   add_runs_option(*command, options);
-  command->add_option("--policy", options.policies, "the first is what the others are held against");
+  command->add_option("--policy", options.policies, "policies; the others are compared with the first");
   return command;
 }
 
 CLI::App* add_search_command(CLI::App& app, CommandOptions& options) {
-  CLI::App* command = app.add_subcommand("search", "the worst day within the scenario's ranges, cut down");
+  CLI::App* command =
+      app.add_subcommand("search", "find the worst case within the scenario's ranges and reduce it");
   add_common_options(*command, options);
   add_runs_option(*command, options);
-  command->add_option("--against", options.baseline, "the policy that shows what was within reach");
-  command->add_option("--tries", options.trial_count, "days to draw")->check(CLI::Range(1, 100000));
+  command->add_option("--against", options.baseline, "baseline that shows which utility was possible");
+  command->add_option("--tries", options.trial_count, "number of trial scenarios to draw")
+      ->check(CLI::Range(1, 100000));
   command
       ->add_option("--keep", options.loss_fraction_kept,
-                   "the share of the worst loss that a smaller day must keep")
+                   "fraction of the worst loss that a reduced scenario must keep")
       ->check(CLI::Range(0.0, 1.0));
   return command;
 }
 
 CLI::App* add_gather_command(CLI::App& app, CommandOptions& options) {
-  CLI::App* command = app.add_subcommand("gather", "how soon members know of each other, and what it costs");
+  CLI::App* command =
+      app.add_subcommand("gather", "measure how soon members learn of changes, and their traffic");
   MembershipExperiment& membership = options.membership;
-  command->add_option("--sidecars", options.membership_sizes, "how many, one or more")
+  command->add_option("--sidecars", options.membership_sizes, "number of sidecars; one or more values")
       ->check(CLI::Range(3, 5000));
-  command->add_option("--loss", options.membership_losses, "the share of datagrams that is lost, one or more")
+  command
+      ->add_option("--loss", options.membership_losses,
+                   "share of datagrams that are lost; one or more values")
       ->check(CLI::Range(0.0, 0.9));
-  command->add_option("--period", membership.probe_interval_ms, "ms, of a probe")
+  command->add_option("--period", membership.probe_interval_ms, "interval between probes, in ms")
       ->check(CLI::Range(50.0, 60000.0));
-  command->add_option("--timeout", membership.probe_timeout_ms, "ms, for a direct answer")
+  command->add_option("--timeout", membership.probe_timeout_ms, "timeout of a direct probe, in ms")
       ->check(CLI::Range(1.0, 30000.0));
-  command->add_option("--seed", membership.seed, "of chance");
+  command->add_option("--seed", membership.seed, "seed of the random numbers");
   return command;
 }
 
@@ -236,7 +247,7 @@
 }  // namespace
 
 int run_command(int argc, const char* const* argv, std::ostream& out, std::ostream& err) {
-  CLI::App app("Plays scenarios against the balancer in an emulated fleet.", "indigorill-emulator");
+  CLI::App app("Runs scenarios against the load balancer in an emulated fleet.", "indigorill-emulator");
   app.require_subcommand(1);
   CommandOptions options;
   const Subcommands subcommands{.run = add_run_command(app, options),
--- a/src/emulator/sweep.cpp
+++ b/src/emulator/sweep.cpp
@@ -11,7 +11,7 @@
 
 constexpr double max_range_points = 1000;
 
-// `context`: the whole argument, for the error.
+// `context` is the whole argument, for the error message.
 double parse_number(const std::string& text, const std::string& context) {
   double number = 0;
   const char* text_end = text.data() + text.size();
@@ -41,7 +41,7 @@
 
 Assignment split_assignment(const std::string& text) {
   const std::size_t equals = text.find('=');
-  if (equals == std::string::npos || equals == 0) throw ConfigError(text + ": no name=value");
+  if (equals == std::string::npos || equals == 0) throw ConfigError(text + ": expected path=value");
   return {text.substr(0, equals), text.substr(equals + 1)};
 }
 
@@ -50,7 +50,7 @@
   const double to = parse_number(parts[1], context);
   const double points = parse_number(parts[2], context);
   if (points < 2 || points > max_range_points || points != std::floor(points))
-    throw ConfigError(context + ": from:to:count wants 2 to 1000 points");
+    throw ConfigError(context + ": count in from:to:count must be a whole number from 2 to 1000");
   std::vector<double> values;
   values.reserve(static_cast<std::size_t>(points));
   for (int i = 0; i < static_cast<int>(points); ++i) values.push_back(from + (to - from) * i / (points - 1));
@@ -68,7 +68,7 @@
   const auto [path, values] = split_assignment(text);
   const std::vector<std::string> range = split(values, ':');
   if (range.size() == 3) return {path, parse_range(range, text)};
-  if (range.size() != 1) throw ConfigError(text + ": neither a,b,c nor from:to:count");
+  if (range.size() != 1) throw ConfigError(text + ": expected path=a,b,c or path=from:to:count");
   SweepAxis axis{path, {}};
   for (const std::string& value : split(values, ',')) axis.values.push_back(parse_number(value, text));
   return axis;
