--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -523,321 +523,387 @@
   CHECK(one != bytes(4, 8));
 }
 
-TEST_CASE("emulator: two policies on one seed are asked for the same") {
-  const Scenario s = decode_scenario([] {
-    toml::table t = rough_table();
-    t.erase("trouble");
-    return t;
+TEST_CASE("emulator: two policies with the same seed receive the same number of requests") {
+  const Scenario scenario = decode_scenario([] {
+    toml::table table = rough_table();
+    table.erase("trouble");
+    return table;
   }());
-  CHECK(run_simulation(s, PolicyKind::random, 5).arrived ==
-        run_simulation(s, PolicyKind::load_balancer, 5).arrived);
+  CHECK(run_simulation(scenario, PolicyKind::random, 5).arrived ==
+        run_simulation(scenario, PolicyKind::load_balancer, 5).arrived);
 }
 
-TEST_CASE("emulator: quantiles, and which of them rest on too few samples") {
-  LatencyHistogram t;
-  CHECK(t.quantile(0.5) == 0);
-  for (int i = 1; i <= 1000; ++i) t.add(i);
-  CHECK(t.quantile(0.5) == doctest::Approx(500).epsilon(0.01));
-  CHECK(t.quantile(0.99) == doctest::Approx(990).epsilon(0.01));
-  CHECK_FALSE(t.has_too_few_samples(0.99));
-  CHECK(t.has_too_few_samples(0.999));
-  LatencyHistogram more;
-  more.add(t);
-  more.add(t);
-  CHECK(more.count() == 2000);
-  CHECK(more.mean() == doctest::Approx(500.5));
-  CHECK(more.quantile(0.5) == doctest::Approx(500).epsilon(0.01));
-  t.add(1e9);
-  t.add(0);
-  CHECK(t.quantile(1) == 100000);
-  // Student's t for 4 degrees of freedom is 2.776.
-  const ConfidenceInterval s = confidence_interval({1, 2, 3, 4, 5});
-  CHECK(s.mean == 3);
-  CHECK(s.half_width == doctest::Approx(2.776 * std::sqrt(2.5 / 5)).epsilon(0.001));
+TEST_CASE("emulator: quantiles and confidence intervals are correct and too few samples are detected") {
+  LatencyHistogram histogram;
+  CHECK(histogram.quantile(0.5) == 0);
+  for (int i = 1; i <= 1000; ++i) histogram.add(i);
+  CHECK(histogram.quantile(0.5) == doctest::Approx(500).epsilon(0.01));
+  CHECK(histogram.quantile(0.99) == doctest::Approx(990).epsilon(0.01));
+  CHECK_FALSE(histogram.has_too_few_samples(0.99));
+  CHECK(histogram.has_too_few_samples(0.999));
+  LatencyHistogram doubled;
+  doubled.add(histogram);
+  doubled.add(histogram);
+  CHECK(doubled.count() == 2000);
+  CHECK(doubled.mean() == doctest::Approx(500.5));
+  CHECK(doubled.quantile(0.5) == doctest::Approx(500).epsilon(0.01));
+  histogram.add(1e9);
+  histogram.add(0);
+  CHECK(histogram.quantile(1) == 100000);
+  // The 97.5 % quantile of Student's t with 4 degrees of freedom is 2.776.
+  const ConfidenceInterval interval = confidence_interval({1, 2, 3, 4, 5});
+  CHECK(interval.mean == 3);
+  CHECK(interval.half_width == doctest::Approx(2.776 * std::sqrt(2.5 / 5)).epsilon(0.001));
   CHECK(confidence_interval({4}).half_width == 0);
 }
 
-// ---- the auditor --------------------------------------------------------------------------------------
+// ---- the rule checker ---------------------------------------------------------------------------------
 
 namespace {
 
-using What = TraceEvent::Kind;
+using Kind = TraceEvent::Kind;
 
-TraceEvent at(double when, What is, std::uint64_t rpc = 0, int pick = 0, std::uint32_t server = 0) {
-  TraceEvent e{is};
-  e.time_ms = when;
+TraceEvent make_event(double time_ms, Kind kind, std::uint64_t rpc = 0, int attempt = 0,
+                      std::uint32_t server = 0) {
+  TraceEvent e{kind};
+  e.time_ms = time_ms;
   e.rpc = rpc;
-  e.attempt = pick;
+  e.attempt = attempt;
   e.server = server;
   return e;
 }
-TraceEvent taken(double when, std::uint64_t rpc, RetrySafety repeats,
-                 DeduplicationScope drops = DeduplicationScope::global) {
-  TraceEvent e = at(when, What::rpc_received, rpc);
-  e.deadline_ms = when + 100;
-  e.retry_safety = repeats;
-  e.deduplication_scope = drops;
+TraceEvent rpc_received_event(double time_ms, std::uint64_t rpc, RetrySafety retry_safety,
+                              DeduplicationScope deduplication_scope = DeduplicationScope::global) {
+  TraceEvent e = make_event(time_ms, Kind::rpc_received, rpc);
+  e.deadline_ms = time_ms + 100;
+  e.retry_safety = retry_safety;
+  e.deduplication_scope = deduplication_scope;
   e.deduplication_window_ms = 50;
   return e;
 }
-TraceEvent over(double when, std::uint64_t rpc, int pick, std::uint32_t server, AttemptOutcome how) {
-  TraceEvent e = at(when, What::attempt_finished, rpc, pick, server);
-  e.outcome = how;
+TraceEvent attempt_finished_event(double time_ms, std::uint64_t rpc, int attempt, std::uint32_t server,
+                                  AttemptOutcome outcome) {
+  TraceEvent e = make_event(time_ms, Kind::attempt_finished, rpc, attempt, server);
+  e.outcome = outcome;
   return e;
 }
-TraceEvent answers(double when, std::uint64_t rpc, RpcAnswer a) {
-  TraceEvent e = at(when, What::answered, rpc);
-  e.answer = a;
+TraceEvent answered_event(double time_ms, std::uint64_t rpc, RpcAnswer answer) {
+  TraceEvent e = make_event(time_ms, Kind::answered, rpc);
+  e.answer = answer;
   return e;
 }
-TraceEvent told(double when, std::uint32_t server, EndpointState is, double started = 0) {
-  TraceEvent e = at(when, What::endpoint_notified, 0, 0, server);
-  e.state = is;
-  e.started_at_ms = started;
+TraceEvent endpoint_notified_event(double time_ms, std::uint32_t server, EndpointState state,
+                                   double started_at_ms = 0) {
+  TraceEvent e = make_event(time_ms, Kind::endpoint_notified, 0, 0, server);
+  e.state = state;
+  e.started_at_ms = started_at_ms;
   return e;
 }
-TraceEvent server_is(double when, std::uint32_t server, double started = 0, int zone = 0, int cell = 0) {
-  TraceEvent e = at(when, What::server_state, 0, 0, server);
+TraceEvent server_state_event(double time_ms, std::uint32_t server, double started_at_ms = 0, int zone = 0,
+                              int cell = 0) {
+  TraceEvent e = make_event(time_ms, Kind::server_state, 0, 0, server);
   e.capacity = 1;
-  e.started_at_ms = started;
+  e.started_at_ms = started_at_ms;
   e.slow_start_initial_capacity = 0.1;
   e.slow_start_duration_ms = 100000;
   e.zone = zone;
   e.cell = cell;
   return e;
 }
-TraceEvent came(double when, std::uint32_t server, double work, std::uint64_t rpc = 9) {
-  TraceEvent e = at(when, What::attempt_received, rpc, 0, server);
-  e.work_ms = work;
+TraceEvent attempt_received_event(double time_ms, std::uint32_t server, double work_ms,
+                                  std::uint64_t rpc = 9) {
+  TraceEvent e = make_event(time_ms, Kind::attempt_received, rpc, 0, server);
+  e.work_ms = work_ms;
   return e;
 }
 
 }  // namespace
 
-TEST_CASE("emulator: the auditor names what broken records break, and nothing in sound ones") {
-  const auto idem = RetrySafety::idempotent;
-  const auto once = RetrySafety::non_idempotent;
-  const auto dedup = RetrySafety::idempotency_key;
-  const auto decided = What::attempt_decided;
-  const auto written = What::attempt_sent;
-  const auto began = What::attempt_started;
+TEST_CASE("emulator: the rule checker reports the violated rule of a trace and none for a valid trace") {
+  const auto idempotent = RetrySafety::idempotent;
+  const auto non_idempotent = RetrySafety::non_idempotent;
+  const auto deduplicated = RetrySafety::idempotency_key;
+  const auto decided = Kind::attempt_decided;
+  const auto sent = Kind::attempt_sent;
+  const auto started = Kind::attempt_started;
   struct {
     const char* name;
-    std::vector<TraceEvent> record;
-    int rule;  // 0: sound
+    std::vector<TraceEvent> trace;
+    int rule;  // 0: no violation
     std::uint64_t rpc;
     std::uint32_t server;
-    double when;
+    double time_ms;
   } table[] = {
-      {"served once",
-       {taken(0, 1, once), at(0, decided, 1, 0, 4), at(0, written, 1, 0, 4), at(1, began, 1, 0, 4),
-        over(9, 1, 0, 4, AttemptOutcome::ok), answers(9, 1, RpcAnswer::ok), at(200, What::run_ended)},
+      {"an attempt succeeds and is answered",
+       {rpc_received_event(0, 1, non_idempotent), make_event(0, decided, 1, 0, 4),
+        make_event(0, sent, 1, 0, 4), make_event(1, started, 1, 0, 4),
+        attempt_finished_event(9, 1, 0, 4, AttemptOutcome::ok), answered_event(9, 1, RpcAnswer::ok),
+        make_event(200, Kind::run_ended)},
        0,
        0,
        0,
        0},
-      {"no answer", {taken(0, 1, idem), at(200, What::run_ended)}, 1, 1, 0, 200},
-      {"not yet due at the end", {taken(150, 1, idem), at(200, What::run_ended)}, 0, 0, 0, 0},
-      {"its sidecar died",
-       {taken(0, 1, idem), at(5, What::sidecar_died), at(200, What::run_ended)},
+      {"no answer by the deadline",
+       {rpc_received_event(0, 1, idempotent), make_event(200, Kind::run_ended)},
+       1,
+       1,
+       0,
+       200},
+      {"no answer, but the deadline is after the end of the run",
+       {rpc_received_event(150, 1, idempotent), make_event(200, Kind::run_ended)},
+       0,
+       0,
+       0,
+       0},
+      {"no answer because the sidecar died",
+       {rpc_received_event(0, 1, idempotent), make_event(5, Kind::sidecar_died),
+        make_event(200, Kind::run_ended)},
        0,
        0,
        0,
        0},
-      {"its client left",
-       {taken(0, 1, idem), at(5, What::client_disconnected, 1), at(200, What::run_ended)},
+      {"no answer because the client disconnected",
+       {rpc_received_event(0, 1, idempotent), make_event(5, Kind::client_disconnected, 1),
+        make_event(200, Kind::run_ended)},
        0,
        0,
        0,
        0},
-      {"two answers",
-       {taken(0, 1, idem), answers(5, 1, RpcAnswer::rejected), answers(6, 1, RpcAnswer::failed)},
+      {"two final answers",
+       {rpc_received_event(0, 1, idempotent), answered_event(5, 1, RpcAnswer::rejected),
+        answered_event(6, 1, RpcAnswer::failed)},
        1,
        1,
        0,
        6},
-      {"answered late", {taken(0, 1, idem), answers(101, 1, RpcAnswer::failed)}, 1, 1, 0, 101},
-      {"ok without a server", {taken(0, 1, idem), answers(5, 1, RpcAnswer::ok)}, 1, 1, 0, 5},
-      {"taken twice", {taken(0, 1, idem), taken(1, 1, idem)}, 1, 1, 0, 1},
-      {"answered, though never taken", {answers(5, 3, RpcAnswer::failed)}, 1, 3, 0, 5},
-      {"a pick after the answer",
-       {taken(0, 1, idem), answers(5, 1, RpcAnswer::failed), at(6, decided, 1, 0, 4)},
+      {"answered after the deadline",
+       {rpc_received_event(0, 1, idempotent), answered_event(101, 1, RpcAnswer::failed)},
+       1,
+       1,
+       0,
+       101},
+      {"answered ok without an attempt",
+       {rpc_received_event(0, 1, idempotent), answered_event(5, 1, RpcAnswer::ok)},
+       1,
+       1,
+       0,
+       5},
+      {"received twice",
+       {rpc_received_event(0, 1, idempotent), rpc_received_event(1, 1, idempotent)},
+       1,
+       1,
+       0,
+       1},
+      {"answered but never received", {answered_event(5, 3, RpcAnswer::failed)}, 1, 3, 0, 5},
+      {"attempt decided after the answer",
+       {rpc_received_event(0, 1, idempotent), answered_event(5, 1, RpcAnswer::failed),
+        make_event(6, decided, 1, 0, 4)},
        1,
        1,
        4,
        6},
-      {"written after the answer",
-       {taken(0, 1, idem), at(1, decided, 1, 0, 4), answers(5, 1, RpcAnswer::failed),
-        at(6, written, 1, 0, 4)},
+      {"attempt sent after the answer",
+       {rpc_received_event(0, 1, idempotent), make_event(1, decided, 1, 0, 4),
+        answered_event(5, 1, RpcAnswer::failed), make_event(6, sent, 1, 0, 4)},
        1,
        1,
        4,
        6},
-      {"written after the deadline",
-       {taken(0, 1, idem), at(1, decided, 1, 0, 4), at(101, written, 1, 0, 4)},
+      {"attempt sent after the deadline",
+       {rpc_received_event(0, 1, idempotent), make_event(1, decided, 1, 0, 4),
+        make_event(101, sent, 1, 0, 4)},
        1,
        1,
        4,
        101},
-      {"a second pick while the first is out",
-       {taken(0, 1, once), at(0, decided, 1, 0, 4), at(2, decided, 1, 1, 5)},
+      {"non-idempotent: second attempt while the first is in flight",
+       {rpc_received_event(0, 1, non_idempotent), make_event(0, decided, 1, 0, 4),
+        make_event(2, decided, 1, 1, 5)},
        2,
        1,
        5,
        2},
-      {"a second pick after a time-out",
-       {taken(0, 1, once), at(0, decided, 1, 0, 4), over(9, 1, 0, 4, AttemptOutcome::timed_out),
-        at(10, decided, 1, 1, 5)},
+      {"non-idempotent: second attempt after a timeout",
+       {rpc_received_event(0, 1, non_idempotent), make_event(0, decided, 1, 0, 4),
+        attempt_finished_event(9, 1, 0, 4, AttemptOutcome::timed_out), make_event(10, decided, 1, 1, 5)},
        2,
        1,
        5,
        10},
-      {"a second pick after a failed connect",
-       {taken(0, 1, once), at(0, decided, 1, 0, 4), over(9, 1, 0, 4, AttemptOutcome::connect_failed),
-        at(10, decided, 1, 1, 5)},
+      {"non-idempotent: second attempt after a failed connection",
+       {rpc_received_event(0, 1, non_idempotent), make_event(0, decided, 1, 0, 4),
+        attempt_finished_event(9, 1, 0, 4, AttemptOutcome::connect_failed), make_event(10, decided, 1, 1, 5)},
        0,
        0,
        0,
        0},
-      {"an idempotent one may go twice",
-       {taken(0, 1, idem), at(0, decided, 1, 0, 4), over(9, 1, 0, 4, AttemptOutcome::reset),
-        at(10, decided, 1, 1, 5)},
+      {"idempotent: second attempt after a reset",
+       {rpc_received_event(0, 1, idempotent), make_event(0, decided, 1, 0, 4),
+        attempt_finished_event(9, 1, 0, 4, AttemptOutcome::reset), make_event(10, decided, 1, 1, 5)},
        0,
        0,
        0,
        0},
-      {"pushed back though it may have run",
-       {taken(0, 1, once), at(0, decided, 1, 0, 4), over(9, 1, 0, 4, AttemptOutcome::cancelled),
-        answers(10, 1, RpcAnswer::rejected)},
+      {"non-idempotent: rejected although it may have been executed",
+       {rpc_received_event(0, 1, non_idempotent), make_event(0, decided, 1, 0, 4),
+        attempt_finished_event(9, 1, 0, 4, AttemptOutcome::cancelled),
+        answered_event(10, 1, RpcAnswer::rejected)},
        2,
        1,
        0,
        10},
-      {"ran though held not to have",
-       {taken(0, 1, once), at(0, decided, 1, 0, 4), over(9, 1, 0, 4, AttemptOutcome::rejected),
-        at(10, began, 1, 0, 4)},
+      {"executed after the sidecar recorded that it was not",
+       {rpc_received_event(0, 1, non_idempotent), make_event(0, decided, 1, 0, 4),
+        attempt_finished_event(9, 1, 0, 4, AttemptOutcome::rejected), make_event(10, started, 1, 0, 4)},
        2,
        1,
        4,
        10},
-      {"ran, then held not to have",
-       {taken(0, 1, once), at(0, decided, 1, 0, 4), at(1, began, 1, 0, 4),
-        over(9, 1, 0, 4, AttemptOutcome::rejected)},
+      {"executed, then recorded by the sidecar as not executed",
+       {rpc_received_event(0, 1, non_idempotent), make_event(0, decided, 1, 0, 4),
+        make_event(1, started, 1, 0, 4), attempt_finished_event(9, 1, 0, 4, AttemptOutcome::rejected)},
        2,
        1,
        4,
        9},
-      {"ran on a server that nobody picked", {taken(0, 1, once), at(3, began, 1, 0, 4)}, 1, 1, 4, 3},
-      {"deduplicated within its zone",
-       {server_is(0, 4, 0, 1), server_is(0, 5, 0, 1), taken(0, 1, dedup, DeduplicationScope::zone),
-        at(0, decided, 1, 0, 4), at(10, decided, 1, 1, 5)},
+      {"executed without a decided attempt",
+       {rpc_received_event(0, 1, non_idempotent), make_event(3, started, 1, 0, 4)},
+       1,
+       1,
+       4,
+       3},
+      {"deduplicated: second attempt within the zone",
+       {server_state_event(0, 4, 0, 1), server_state_event(0, 5, 0, 1),
+        rpc_received_event(0, 1, deduplicated, DeduplicationScope::zone), make_event(0, decided, 1, 0, 4),
+        make_event(10, decided, 1, 1, 5)},
        0,
        0,
        0,
        0},
-      {"deduplicated outside its zone",
-       {server_is(0, 4, 0, 1), server_is(0, 5, 0, 2), taken(0, 1, dedup, DeduplicationScope::zone),
-        at(0, decided, 1, 0, 4), at(10, decided, 1, 1, 5)},
+      {"deduplicated: second attempt outside the zone",
+       {server_state_event(0, 4, 0, 1), server_state_event(0, 5, 0, 2),
+        rpc_received_event(0, 1, deduplicated, DeduplicationScope::zone), make_event(0, decided, 1, 0, 4),
+        make_event(10, decided, 1, 1, 5)},
        2,
        1,
        5,
        10},
-      {"deduplicated outside its cell",
-       {server_is(0, 4, 0, 1, 1), server_is(0, 5, 0, 1, 2), taken(0, 1, dedup, DeduplicationScope::cell),
-        at(0, decided, 1, 0, 4), at(10, decided, 1, 1, 5)},
+      {"deduplicated: second attempt outside the cell",
+       {server_state_event(0, 4, 0, 1, 1), server_state_event(0, 5, 0, 1, 2),
+        rpc_received_event(0, 1, deduplicated, DeduplicationScope::cell), make_event(0, decided, 1, 0, 4),
+        make_event(10, decided, 1, 1, 5)},
        2,
        1,
        5,
        10},
-      {"deduplicated after its window",
-       {taken(0, 1, dedup), at(0, decided, 1, 0, 4), at(51, decided, 1, 1, 4)},
+      {"deduplicated: second attempt after the window",
+       {rpc_received_event(0, 1, deduplicated), make_event(0, decided, 1, 0, 4),
+        make_event(51, decided, 1, 1, 4)},
        2,
        1,
        4,
        51},
-      {"a zone's pushed back",
-       {taken(0, 1, dedup, DeduplicationScope::zone), at(0, decided, 1, 0, 4),
-        over(5, 1, 0, 4, AttemptOutcome::reset), answers(6, 1, RpcAnswer::rejected)},
+      {"deduplicated in a zone: rejected although it may have been executed",
+       {rpc_received_event(0, 1, deduplicated, DeduplicationScope::zone), make_event(0, decided, 1, 0, 4),
+        attempt_finished_event(5, 1, 0, 4, AttemptOutcome::reset), answered_event(6, 1, RpcAnswer::rejected)},
        2,
        1,
        0,
        6},
-      {"within the grace",
-       {told(0, 4, EndpointState::draining), taken(480, 1, idem), at(490, decided, 1, 0, 4),
-        at(499, written, 1, 0, 4)},
+      {"attempt sent within the grace period",
+       {endpoint_notified_event(0, 4, EndpointState::draining), rpc_received_event(480, 1, idempotent),
+        make_event(490, decided, 1, 0, 4), make_event(499, sent, 1, 0, 4)},
        0,
        0,
        0,
        0},
-      {"after the grace",
-       {told(0, 4, EndpointState::draining), taken(480, 1, idem), at(490, decided, 1, 0, 4),
-        at(501, written, 1, 0, 4)},
+      {"attempt sent after the grace period",
+       {endpoint_notified_event(0, 4, EndpointState::draining), rpc_received_event(480, 1, idempotent),
+        make_event(490, decided, 1, 0, 4), make_event(501, sent, 1, 0, 4)},
        3,
        1,
        4,
        501},
-      {"told twice, the first word counts",
-       {told(0, 4, EndpointState::draining), told(400, 4, EndpointState::gone), taken(480, 1, idem),
-        at(490, decided, 1, 0, 4), at(501, written, 1, 0, 4)},
+      {"grace period starts at the first of two notifications",
+       {endpoint_notified_event(0, 4, EndpointState::draining),
+        endpoint_notified_event(400, 4, EndpointState::gone), rpc_received_event(480, 1, idempotent),
+        make_event(490, decided, 1, 0, 4), make_event(501, sent, 1, 0, 4)},
        3,
        1,
        4,
        501},
-      {"probed after the grace",
-       {told(0, 4, EndpointState::gone), at(600, What::health_check_sent, 0, 0, 4)},
+      {"health check sent after the grace period",
+       {endpoint_notified_event(0, 4, EndpointState::gone),
+        make_event(600, Kind::health_check_sent, 0, 0, 4)},
        3,
        0,
        4,
        600},
-      {"ready again",
-       {told(0, 4, EndpointState::draining), told(400, 4, EndpointState::ready, 300),
-        at(600, What::health_check_sent, 0, 0, 4)},
+      {"health check sent after the server is ready again",
+       {endpoint_notified_event(0, 4, EndpointState::draining),
+        endpoint_notified_event(400, 4, EndpointState::ready, 300),
+        make_event(600, Kind::health_check_sent, 0, 0, 4)},
        0,
        0,
        0,
        0},
-      {"cold, within the multiple",  // 3 x 0.1 x 1500 = 450 ms of work, and a little more as it warms
-       {server_is(10, 4, 10), told(11, 4, EndpointState::ready, 10), came(20, 4, 440)},
+      // The limit is 3 x 0.1 x 1500 = 450 ms of work and rises slightly as the server warms up.
+      {"slow start: work within the limit",
+       {server_state_event(10, 4, 10), endpoint_notified_event(11, 4, EndpointState::ready, 10),
+        attempt_received_event(20, 4, 440)},
        0,
        0,
        0,
        0},
-      {"cold, over it in one span",
-       {server_is(10, 4, 10), told(11, 4, EndpointState::ready, 10), came(20, 4, 300), came(900, 4, 200)},
+      {"slow start: work over the limit in one window",
+       {server_state_event(10, 4, 10), endpoint_notified_event(11, 4, EndpointState::ready, 10),
+        attempt_received_event(20, 4, 300), attempt_received_event(900, 4, 200)},
        4,
        9,
        4,
        900},
-      {"cold, spread over two spans",
-       {server_is(10, 4, 10), told(11, 4, EndpointState::ready, 10), came(20, 4, 300), came(1600, 4, 300)},
+      {"slow start: work spread over two windows",
+       {server_state_event(10, 4, 10), endpoint_notified_event(11, 4, EndpointState::ready, 10),
+        attempt_received_event(20, 4, 300), attempt_received_event(1600, 4, 300)},
+       0,
+       0,
+       0,
+       0},
+      {"slow start: work from a sidecar that was not notified",
+       {server_state_event(10, 4, 10), attempt_received_event(20, 4, 3000)},
+       0,
+       0,
+       0,
+       0},
+      {"no slow start",
+       {server_state_event(0, 4, 0), endpoint_notified_event(1, 4, EndpointState::ready),
+        attempt_received_event(20, 4, 3000)},
        0,
        0,
        0,
        0},
-      {"cold, by one that could not know", {server_is(10, 4, 10), came(20, 4, 3000)}, 0, 0, 0, 0},
-      {"warm", {server_is(0, 4, 0), told(1, 4, EndpointState::ready), came(20, 4, 3000)}, 0, 0, 0, 0},
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
-    RuleChecker a({500, 3, 1500});
-    for (const TraceEvent& e : row.record) a.on_event(e);
-    CHECK(a.count() == (row.rule ? 1 : 0));
-    if (!row.rule || a.violations().empty()) continue;
-    const RuleViolation& b = a.violations()[0];
-    CAPTURE(describe(b));
-    CHECK(b.rule == row.rule);
-    CHECK(a.count(row.rule) == 1);
-    CHECK(b.rpc == row.rpc);
-    CHECK(b.server == row.server);
-    CHECK(b.time_ms == row.when);
+    RuleChecker checker({500, 3, 1500});
+    for (const TraceEvent& e : row.trace) checker.on_event(e);
+    CHECK(checker.count() == (row.rule ? 1 : 0));
+    if (!row.rule || checker.violations().empty()) continue;
+    const RuleViolation& violation = checker.violations()[0];
+    CAPTURE(describe(violation));
+    CHECK(violation.rule == row.rule);
+    CHECK(checker.count(row.rule) == 1);
+    CHECK(violation.rpc == row.rpc);
+    CHECK(violation.server == row.server);
+    CHECK(violation.time_ms == row.time_ms);
   }
 }
 
 // ---- scenarios, experiments, the command line ---------------------------------------------------------
 
-TEST_CASE("emulator: scenarios at fault are refused with line and reason") {
+TEST_CASE("emulator: invalid scenarios are rejected with line and reason") {
   struct {
-    std::string what, in_place, reason;
+    std::string original, replacement, reason;
     int line;
   } table[] = {
       {"sidecars = 8", "sidecars = 0", "sidecars is 0, not 1 to 100000", 4},
@@ -863,14 +929,14 @@
       {"[load]", "[load", "expected ']'", 16},
   };
   for (const auto& row : table) {
-    CAPTURE(row.in_place);
-    const Folder f;
-    const std::string file = f.put("s.toml", with_line(row.what, row.in_place));
+    CAPTURE(row.replacement);
+    const Folder folder;
+    const std::string file = folder.put("s.toml", with_line(row.original, row.replacement));
     std::string text;
     try {
       decode_scenario(read_toml_file(file));
-    } catch (const ConfigError& e) {
-      text = e.what();
+    } catch (const ConfigError& error) {
+      text = error.what();
     }
     CAPTURE(text);
     CHECK(text.find(file + ":" + std::to_string(row.line) + ": ") != std::string::npos);
@@ -881,30 +947,30 @@
     CHECK(out.empty());
     CHECK(err == text + "\n");
   }
-  // All faults are told at once.
-  const Folder f;
-  const std::string two = f.put("s.toml", with_line("queue = 6", "queue = -6\nnonsense = 1"));
+  // All errors are reported at once.
+  const Folder folder;
+  const std::string invalid_file = folder.put("s.toml", with_line("queue = 6", "queue = -6\nnonsense = 1"));
   std::string err;
-  CHECK(call({"run", two.c_str()}, nullptr, &err) == 2);
+  CHECK(call({"run", invalid_file.c_str()}, nullptr, &err) == 2);
   CHECK(std::count(err.begin(), err.end(), '\n') == 2);
   CHECK(call({"run", "/nowhere/s.toml"}, nullptr, &err) == 2);
   CHECK(err.find("/nowhere/s.toml") == 0);
 }
 
-TEST_CASE("emulator: variables are named by their paths") {
-  toml::table t = rough_table();
-  set_value(t, "trouble[1].for_s", 2.5);
-  CHECK(value_at(t, "trouble[1].for_s") == 2.5);
-  set_value(t, "sidecars", 9);
-  CHECK(decode_scenario(t).sidecars == 9);
+TEST_CASE("emulator: variables are set and read by path and invalid axes are rejected") {
+  toml::table scenario_table = rough_table();
+  set_value(scenario_table, "trouble[1].for_s", 2.5);
+  CHECK(value_at(scenario_table, "trouble[1].for_s") == 2.5);
+  set_value(scenario_table, "sidecars", 9);
+  CHECK(decode_scenario(scenario_table).sidecars == 9);
   for (const char* path : {"trouble[40].for_s", "nothing.here", "load.", "seconds[0]"}) {
     CAPTURE(path);
-    CHECK_THROWS_AS(set_value(t, path, 1), ConfigError);
+    CHECK_THROWS_AS(set_value(scenario_table, path, 1), ConfigError);
   }
-  CHECK_THROWS_AS(value_at(t, "load.none"), ConfigError);
+  CHECK_THROWS_AS(value_at(scenario_table, "load.none"), ConfigError);
   struct {
     const char* text;
-    std::vector<double> values;  // empty: a fault
+    std::vector<double> values;  // empty: invalid
   } table[] = {{"a=1,2.5", {1, 2.5}},
                {"a=1:3:3", {1, 2, 3}},
                {"a=7", {7}},
@@ -929,8 +995,8 @@
   CHECK_THROWS_AS(decode_scenario(with_ranges), ConfigError);
 }
 
-TEST_CASE("emulator: the search finds the day that hurts and cuts it down") {
-  // Of two troubles only one hurts, and only if many servers have it.
+TEST_CASE("emulator: the worst-case search finds the harmful fault and removes the other one") {
+  // Only one of the two faults reduces utility, and only if it affects many servers.
   const char* text = R"(seconds = 8
 sidecars = 4
 [[server]]
@@ -957,44 +1023,46 @@
 "trouble[1].share" = [0.05, 0.9]
 "net.delay_ms" = [0.2, 0.3]
 )";
-  WorstCaseSearch h;
-  h.base_scenario = toml::parse(text);
-  set_value(*h.base_scenario.insert_or_assign("net", toml::table{}).first->second.as_table(), "delay_ms",
+  WorstCaseSearch search;
+  search.base_scenario = toml::parse(text);
+  set_value(*search.base_scenario.insert_or_assign("net", toml::table{}).first->second.as_table(), "delay_ms",
             0.2);
-  h.baseline = PolicyKind::true_state;
-  h.trial_count = 16;
-  h.runs_per_trial = 1;
-  h.threads = 2;
-  const WorstCase d = find_worst_case(h);
-  CHECK(d.worst_loss > 0.02);
-  CHECK(d.smallest_loss >= h.loss_fraction_kept * d.worst_loss);
-  CHECK(value_at(d.worst_scenario, "trouble[1].share") > 0.1);
-  CHECK_FALSE(d.reductions.empty());
-  CHECK(d.smallest_scenario["trouble"].as_array()->size() == 1);
-  CHECK(d.smallest_scenario["trouble"][0]["what"].value_or(std::string()) == "slow");
-  CHECK_NOTHROW(decode_scenario(d.smallest_scenario));
-  // The same again, whatever the threads.
-  h.threads = 1;
-  CHECK(find_worst_case(h).worst_loss == d.worst_loss);
+  search.baseline = PolicyKind::true_state;
+  search.trial_count = 16;
+  search.runs_per_trial = 1;
+  search.threads = 2;
+  const WorstCase worst_case = find_worst_case(search);
+  CHECK(worst_case.worst_loss > 0.02);
+  CHECK(worst_case.smallest_loss >= search.loss_fraction_kept * worst_case.worst_loss);
+  CHECK(value_at(worst_case.worst_scenario, "trouble[1].share") > 0.1);
+  CHECK_FALSE(worst_case.reductions.empty());
+  CHECK(worst_case.smallest_scenario["trouble"].as_array()->size() == 1);
+  CHECK(worst_case.smallest_scenario["trouble"][0]["what"].value_or(std::string()) == "slow");
+  CHECK_NOTHROW(decode_scenario(worst_case.smallest_scenario));
+  // The result does not depend on the number of threads.
+  search.threads = 1;
+  CHECK(find_worst_case(search).worst_loss == worst_case.worst_loss);
 }
 
-TEST_CASE("emulator: the command line plays, compares, sweeps, searches and says what is wrong") {
-  const Folder f;
-  const std::string file = f.put("s.toml", std::string(rough) + "[ranges]\n\"load.rate\" = [100, 300]\n");
-  const std::string to = (f.path / "out").string();
-  const std::string log = (f.path / "log.jsonl").string();
+TEST_CASE("emulator: the subcommands write their output and invalid arguments are rejected") {
+  const Folder folder;
+  const std::string file =
+      folder.put("s.toml", std::string(rough) + "[ranges]\n\"load.rate\" = [100, 300]\n");
+  const std::string output_directory = (folder.path / "out").string();
+  const std::string trace_file = (folder.path / "log.jsonl").string();
   std::string out;
   std::string err;
-  CHECK(call({"run", file.c_str(), "--out", to.c_str(), "--log", log.c_str(), "--set", "load.rate=100"}, &out,
-             &err) == 0);
+  CHECK(call({"run", file.c_str(), "--out", output_directory.c_str(), "--log", trace_file.c_str(), "--set",
+              "load.rate=100"},
+             &out, &err) == 0);
   CHECK(out.find("module, 1 run\n") == 0);
   for (const char* name : {"summary.csv", "seconds.csv", "runs.jsonl", "plot.gp"})
-    CHECK(std::filesystem::file_size(f.path / "out" / name) > 100);
-  std::ifstream lines(log);
+    CHECK(std::filesystem::file_size(folder.path / "out" / name) > 100);
+  std::ifstream trace(trace_file);
   RuleChecker again({500, 3, 1500});
-  std::size_t count = 0;
-  for (std::string line; std::getline(lines, line); ++count) REQUIRE(nlohmann::json::accept(line));
-  CHECK(count > 1000);
+  std::size_t line_count = 0;
+  for (std::string line; std::getline(trace, line); ++line_count) REQUIRE(nlohmann::json::accept(line));
+  CHECK(line_count > 1000);
 
   CHECK(
       call({"compare", file.c_str(), "--runs", "2", "--policy", "module", "random", "--set", "load.rate=60"},
@@ -1002,21 +1070,21 @@
   CHECK(out.find("beside module") != std::string::npos);
   CHECK(call({"sweep", file.c_str(), "--over", "load.rate=60,90", "sidecars=2,4"}, &out) == 0);
   CHECK(out.find("load.rate=90 sidecars=4, 1 run") != std::string::npos);
-  CHECK(call({"search", file.c_str(), "--tries", "2", "--out", to.c_str()}, &out) == 0);
-  CHECK(std::filesystem::exists(f.path / "out" / "smallest.toml"));
+  CHECK(call({"search", file.c_str(), "--tries", "2", "--out", output_directory.c_str()}, &out) == 0);
+  CHECK(std::filesystem::exists(folder.path / "out" / "smallest.toml"));
 
-  const char* wrong[][4]{{"run", file.c_str(), "--set", "load.rat"},
-                         {"run", file.c_str(), "--policy", "best"},
-                         {"run", file.c_str(), "--runs", "0"},
-                         {"run", file.c_str(), "--set", "load.rate=-4"},
-                         {"sweep", file.c_str(), "--over", "nothing[3].x=1"},
-                         {"sweep", file.c_str(), "--runs", "1"},
-                         {"search", file.c_str(), "--against", "nobody"},
-                         {"dance", file.c_str(), "--runs", "1"}};
-  for (const auto& words : wrong) {
-    CAPTURE(words[0]);
-    CAPTURE(words[3]);
-    CHECK(call({words[0], words[1], words[2], words[3]}, &out, &err) == 2);
+  const char* invalid_arguments[][4]{{"run", file.c_str(), "--set", "load.rat"},
+                                     {"run", file.c_str(), "--policy", "best"},
+                                     {"run", file.c_str(), "--runs", "0"},
+                                     {"run", file.c_str(), "--set", "load.rate=-4"},
+                                     {"sweep", file.c_str(), "--over", "nothing[3].x=1"},
+                                     {"sweep", file.c_str(), "--runs", "1"},
+                                     {"search", file.c_str(), "--against", "nobody"},
+                                     {"dance", file.c_str(), "--runs", "1"}};
+  for (const auto& arguments : invalid_arguments) {
+    CAPTURE(arguments[0]);
+    CAPTURE(arguments[3]);
+    CHECK(call({arguments[0], arguments[1], arguments[2], arguments[3]}, &out, &err) == 2);
     CHECK(out.empty());
     CHECK_FALSE(err.empty());
   }
