--- a/src/emulator/balancing_policy.h
+++ b/src/emulator/balancing_policy.h
@@ -26,7 +26,7 @@
                                 const std::vector<Endpoint>& endpoints) = 0;
   virtual void endpoint_poll_failed(double now_ms, double poll_duration_ms) = 0;
   virtual void on_rpc_arrived(double now_ms, const RpcArrival& arrival) = 0;
-  /// `concluded`: the client already has the final answer to the RPC.
+  /// `concluded`: the RPC has its final answer, or its client disconnected.
   virtual void on_attempt_finished(double now_ms, const std::string& rpc, int attempt, AttemptOutcome outcome,
                                    double duration_ms, bool concluded, const LoadReport& report) = 0;
   virtual void on_probe_finished(double now_ms, const std::string& endpoint, AttemptOutcome outcome,
