--- a/src/load/command_line.cpp
+++ b/src/load/command_line.cpp
@@ -27,7 +27,7 @@
 
 struct CommandOptions {
   std::string scenario_path;
-  std::string config_directory;  // not empty: the configs are written, nothing is run
+  std::string config_directory;  // if not empty, the configs are written there and nothing is run
   std::vector<std::string> settings;
   bool soaks = false;
   LoadRunConfig run;
@@ -35,7 +35,7 @@
 
 emulator::Scenario load_scenario(const CommandOptions& options) {
   toml::table table = read_toml_file(options.scenario_path);
-  // As it stands in the file, where errors have lines.
+  // Decodes the unchanged file first, so that errors in it are reported with their line.
   emulator::decode_scenario(table);
   for (const std::string& text : options.settings) {
     const emulator::VariableSetting setting = emulator::parse_setting(text);
@@ -59,40 +59,44 @@
   return text;
 }
 
-// Why the run can't be played like this; empty where it can. Of several reasons the last is the one to mend
-// first.
+// Returns why this run is impossible, or an empty string if it is possible. Of several reasons the last is
+// the one to mend first.
 std::string find_run_error(const LoadRunConfig& config) {
   const emulator::Scenario& scenario = config.scenario;
   if (config.sidecar_command.empty()) {
     if (has_fault(scenario, is_sidecar_fault))
-      return "trouble restart_sidecars wants --start, as do all of sidecars: only what it started does it "
-             "kill";
-    if (config.base_port == 0) return "neither --start nor --base-port: where are the sidecars?";
+      return "restart_sidecars and all other troubles of sidecars require --start: only processes that "
+             "indigorill-load has started are killed";
+    if (config.base_port == 0)
+      return "either --start (starts sidecars) or --base-port (ports of running sidecars) is required";
   }
   if (has_fault(scenario, is_gossip_partition) && !scenario.gossip.enabled)
-    return "trouble cut_talk wants a section talk";
+    return "trouble cut_talk requires a section [talk]";
   return join_lines(find_unsupported_features(scenario));
 }
 
 void add_options(CLI::App& app, CommandOptions& options) {
-  app.add_option("scenario", options.scenario_path, "the scenario, a TOML file")->required();
-  app.add_option("--set", options.settings, "path=value in place of the file's, as load.rate=500");
-  app.add_option("--seed", options.run.seed, "in place of the scenario's");
+  app.add_option("scenario", options.scenario_path, "scenario file (TOML)")->required();
+  app.add_option("--set", options.settings,
+                 "override a value of the scenario, given as path=value, for example load.rate=500");
+  app.add_option("--seed", options.run.seed, "seed that overrides the one of the scenario");
   app.add_option("--start", options.run.sidecar_command,
-                 "the sidecar's program, started as often as the scenario says");
-  app.add_option("--base-port", options.run.base_port,
-                 "agents listen from here on, sidecars 1000 above, endpoints 2000 above");
+                 "program of the sidecar; one process is started for each sidecar of the scenario");
+  app.add_option(
+      "--base-port", options.run.base_port,
+      "first port of the discovery agents; sidecars listen from 1000 above it, endpoints from 2000 above it");
   app.add_option("--write-configs", options.config_directory,
-                 "write the sidecars' configs into a folder, and end");
-  app.add_flag(
-      "--soak", options.soaks,
-      "one sidecar from its start to its kill, under faults, signals and crowds that the seed draws");
-  app.add_option("--most", options.run.max_requests, "RPCs, at most")->check(CLI::Range(1, 100000000));
+                 "write the sidecars' configs to a directory and exit without a run");
+  app.add_flag("--soak", options.soaks,
+               "run one sidecar from its start to SIGKILL, with faults, signals and crowds of clients drawn "
+               "from the seed");
+  app.add_option("--most", options.run.max_requests, "maximum number of RPCs, not counting client retries")
+      ->check(CLI::Range(1, 100000000));
 }
 
 int execute_soak(const LoadRunConfig& run, std::ostream& out) {
-  if (run.sidecar_command.empty()) throw ConfigError("--soak wants --start");
-  if (run.scenario.sidecars != 1) throw ConfigError("--soak wants a scenario of one sidecar");
+  if (run.sidecar_command.empty()) throw ConfigError("--soak requires --start");
+  if (run.scenario.sidecars != 1) throw ConfigError("--soak requires a scenario with one sidecar");
   const SoakResult result = run_soak(run);
   print_soak_result(out, run.seed, result);
   return result.violations.empty() ? exit_ok : exit_rule_violated;
@@ -120,9 +124,9 @@
 
 int run_command(int argc, const char* const* argv, std::ostream& out, std::ostream& err) {
   CLI::App app(
-      "Plays a scenario on sockets: open-loop load on sidecars, with stand-ins for endpoints and discovery, "
-      "all on loopback. Exit status: 0, 1 if it can't begin, 2 for words or a scenario at fault, 3 if a rule "
-      "was broken, 4 if it could not keep its own pace.",
+      "Runs a scenario on sockets: open-loop load on sidecars, with fake endpoints and discovery agents, all "
+      "on loopback. Exit status: 0 on success, 1 if the run can't start, 2 for invalid arguments or an "
+      "invalid scenario, 3 if a rule was violated, 4 if the load generator could not send the load on time.",
       "indigorill-load");
   CommandOptions options;
   add_options(app, options);
--- a/src/load/fake_fleet.cpp
+++ b/src/load/fake_fleet.cpp
@@ -19,7 +19,8 @@
 
 constexpr const char* rejected_header = "X-Rejected: 1\r\n";
 
-// "12m" or "12000u"; 0 where there is none.
+// Parses X-Budget, for example "12m" (milliseconds) or "12000u" (microseconds); returns 0 if it is missing or
+// invalid.
 double parse_budget_ms(const http::Message& request) {
   constexpr double us_per_ms = 1000;
   const std::string_view value = request.find_header("X-Budget").value_or("");
@@ -40,10 +41,10 @@
 
 std::vector<std::string> find_unsupported_features(const emulator::Scenario& scenario) {
   std::vector<std::string> features;
-  if (scenario.network.loss_rate > 0) features.emplace_back("net.loss can't be played on loopback");
+  if (scenario.network.loss_rate > 0) features.emplace_back("net.loss is not supported on loopback");
   for (const Fault& fault : scenario.faults) {
     if (fault.kind == Fault::Kind::packet_loss)
-      features.emplace_back("trouble loss can't be played on loopback");
+      features.emplace_back("trouble loss is not supported on loopback");
   }
   return features;
 }
@@ -183,7 +184,7 @@
       return state.listener->send_answer(connection,
                                          format_response(unavailable_status, "", headers + rejected_header));
     case EmulatedServer::JobOutcome::lost:
-      return;  // its connection ends with the process
+      return;  // no answer: the connection ends with the process
   }
 }
 
@@ -228,7 +229,8 @@
   state.draining = false;
   state.advertised = true;
   state.unreachable = false;
-  // It is another process, perhaps on another machine: what was open ends, unread.
+  // The restarted server is another process, possibly on another machine: connections of the former process
+  // end and their unread data is dropped.
   state.listener->close_all();
   state.listener->open();
   publish_change(server, EndpointState::ready);
@@ -282,7 +284,7 @@
         emulated.set_error_rate(error_rate);
       });
     default:
-      return;  // not of servers
+      return;  // not a fault of servers
   }
 }
 
--- a/src/load/fake_fleet.h
+++ b/src/load/fake_fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// Fakes of the endpoints and of discovery's agents: the emulator's servers behind HTTP on loopback, with the
-/// same faults.
+/// Fakes of the endpoints and of the discovery agents: the emulator's servers behind HTTP on loopback, with
+/// the emulator's faults.
 ///
 /// fake_fleet.cpp holds the servers and their faults, fake_discovery.cpp the endpoint list.
 #pragma once
@@ -21,36 +21,37 @@
 
 namespace indigorill::load_generator {
 
-/// Where ports are given by a base: agents first, then sidecars, then servers.
+/// Offsets from a configured base port: agents start at the base, sidecars and servers at these offsets.
 constexpr std::size_t sidecar_port_offset = 1000;
 constexpr std::size_t server_port_offset = 2000;
 
-/// `base_port` 0: returns 0, the kernel chooses.
+/// Returns 0 if `base_port` is 0: the kernel then chooses the port.
 std::uint16_t port_of(std::uint16_t base_port, std::size_t offset);
 
 /// One attempt as a server received it.
 struct AttemptObservation {
   std::size_t server = 0;
   double received_at_ms = 0;
-  double time_budget_ms = 0;  ///< that it was told; 0: none
+  double time_budget_ms = 0;  ///< time budget in the request, in ms; 0: none
 };
 
-/// What the servers saw of one RPC.
+/// The servers' observations of one RPC.
 struct RpcObservation {
   int received = 0;
   int executed = 0;
   std::vector<AttemptObservation> attempts;
 };
 
-/// How discovery's agents answer.
+/// The way in which all discovery agents answer.
 enum class DiscoveryMode { healthy, silent, refuses, unavailable, slow, half_response };
 
-/// A change of the endpoint list, and when discovery had it and told it. Times are milliseconds of the run.
+/// A change of the endpoint list, and when discovery learned of it and sent it to a sidecar. Times are
+/// milliseconds of the run.
 struct EndpointChange {
   std::size_t server = 0;
   EndpointState state = EndpointState::ready;
-  double known_at_ms = never_told;  ///< to the first agent
-  double told_at_ms = never_told;   ///< written to a sidecar for the first time
+  double known_at_ms = never_told;  ///< when the first agent learned of the change
+  double told_at_ms = never_told;   ///< when the change was first written to a sidecar
 
   static constexpr double never_told = 1e18;
 };
@@ -63,30 +64,30 @@
   std::uint64_t discovery_polls = 0;
 };
 
-/// Servers and sidecars are numbered from 0. What is passed by reference, but for the scenario, must outlive
-/// it.
+/// Servers and sidecars are numbered from 0. Constructor arguments passed by reference, except for the
+/// scenario, must outlive the fleet.
 class FakeFleet {
  public:
   FakeFleet(EventLoop& loop, FileDescriptorBudget& descriptors, WallClockScheduler& clock,
             const emulator::Scenario& scenario, std::uint64_t seed, std::uint16_t base_port);
 
-  /// Of the sidecar's own discovery agent.
+  /// Address of the sidecar's own discovery agent.
   std::string agent_address(std::size_t sidecar) const;
-  /// The whole endpoint list, as an agent would send it at the start.
+  /// The complete endpoint list, as an agent would send it at the start.
   std::string endpoint_list() const;
-  /// Another agent, which no sidecar knows yet; returns its number.
+  /// Adds an agent that no sidecar uses yet, and returns its number.
   std::size_t add_agent();
-  /// It takes no new connection, and closes those that are open after a while.
+  /// The agent accepts no more connections, and closes its open ones at `closes_at_ms`.
   void retire_agent(std::size_t agent, double closes_at_ms);
-  /// `response_delay_ms`: where the mode is slow.
+  /// `response_delay_ms` applies to DiscoveryMode::slow alone.
   void set_discovery_mode(DiscoveryMode mode, double response_delay_ms = 0);
-  /// Schedules a fault of servers or of discovery; does nothing for others.
+  /// Schedules a fault of servers or of discovery; does nothing for other faults.
   void schedule_fault(const emulator::Fault& fault, std::size_t index);
 
   const std::unordered_map<std::string, RpcObservation>& rpcs() const { return observations_; }
-  /// When each retry of a sidecar was received.
+  /// Times at which servers received retries of the sidecars, in ms of the run.
   const std::vector<double>& retry_times() const { return retry_times_; }
-  /// The most retries received within any window of this length.
+  /// The largest number of retries received within any window of this length.
   std::size_t max_retries_within(double window_ms) const;
   const FleetCounters& counters() const { return counters_; }
   const std::vector<EndpointChange>& endpoint_changes() const { return change_records_; }
@@ -105,9 +106,9 @@
     double speed = 1;
     bool draining = false;
     bool advertised = true;    // on the endpoint list
-    bool unreachable = false;  // its machine is gone
+    bool unreachable = false;  // the server's machine is lost
     std::map<std::uint64_t, ServerJob> jobs;
-    std::unordered_set<std::uint64_t> used_connections;  // that have carried a request
+    std::unordered_set<std::uint64_t> used_connections;  // connections that have carried a request
   };
   struct Watch {
     std::uint64_t connection;
@@ -116,7 +117,7 @@
   };
   struct FakeAgent {
     std::unique_ptr<HttpListener> listener;
-    std::size_t known_changes = 0;  // of the endpoint list, that it has got
+    std::size_t known_changes = 0;  // number of changes of the endpoint list that the agent knows
     bool update_scheduled = false;
     bool is_retired = false;
     std::vector<Watch> watches;
@@ -172,7 +173,7 @@
   std::vector<std::unique_ptr<ServerState>> servers_;
   std::vector<std::unique_ptr<FakeAgent>> agents_;
   std::vector<std::string> endpoint_changes_;
-  std::vector<std::size_t> changed_servers_;  // of each of the changes
+  std::vector<std::size_t> changed_servers_;  // the server of each entry of endpoint_changes_
   std::vector<EndpointChange> change_records_;
   DiscoveryMode discovery_mode_ = DiscoveryMode::healthy;
   double response_delay_ms_ = 0;
@@ -184,7 +185,7 @@
   FleetCounters counters_;
 };
 
-/// What in the scenario can't be played on loopback, a line each.
+/// Returns one line for each feature of the scenario that is not supported on loopback.
 std::vector<std::string> find_unsupported_features(const emulator::Scenario& scenario);
 
 }  // namespace indigorill::load_generator
