--- a/src/load/client_crowd.cpp
+++ b/src/load/client_crowd.cpp
@@ -11,7 +11,7 @@
 struct ClientCrowd::Client {
   double connected_at_ms = 0;
   bool writes_half = false;
-  bool is_settled = false;  // was sent something, or closed
+  bool is_settled = false;  // the sidecar sent data or the connection ended
   WriteBuffer output;
   std::unique_ptr<TcpStream> transport;
 };
--- a/src/load/client_crowd.h
+++ b/src/load/client_crowd.h
@@ -1,5 +1,5 @@
 /// \file
-/// Clients of one sidecar that connect and say nothing, or half of a request, and stay.
+/// Clients of one sidecar that connect, send nothing or half of a request, and keep the connection open.
 #pragma once
 
 #include <netinet/in.h>
@@ -19,7 +19,8 @@
   ~ClientCrowd();
 
   void connect(std::size_t idle_clients, std::size_t half_written_clients);
-  /// Half-written clients that are neither answered nor closed so long after they connected.
+  /// Returns how many half-written clients connected more than `after_ms` ago and got neither an answer nor a
+  /// close.
   std::size_t forgotten(double after_ms) const;
 
  private:
--- a/src/load/load_clients.cpp
+++ b/src/load/load_clients.cpp
@@ -17,7 +17,7 @@
 
 constexpr double ms_per_second = 1000;
 constexpr double us_per_ms = 1000;
-constexpr double min_time_left_ms = 1;  // less is not worth sending
+constexpr double min_time_left_ms = 1;  // an RPC with less time left is not sent
 
 double parse_retry_after_ms(const http::Message& message) {
   const auto value = message.find_header("Retry-After");
@@ -37,7 +37,7 @@
   WriteBuffer output;
   std::uint64_t request = 0;  // 0: idle
   std::string rpc_id;
-  bool reused = false;  // an answer came over it before
+  bool reused = false;  // the connection has carried an answer before
   double intended_at_ms = 0;
   EventLoop::Timer deadline_timer;
   EventLoop::Timer departure_timer;
@@ -84,7 +84,7 @@
   Sidecar& state = sidecars_[sidecar];
   const double mean_interval_ms = ms_per_second / (arrival_pattern_.peak_rate * state.arrival_share);
   if (!std::isfinite(mean_interval_ms)) return;
-  // The queue's clock stands at the intended time, however late the process gets to it.
+  // The queue's clock shows the intended time of the current event, even if the process runs the event late.
   const double arrival_ms = clock_.queue().now() + state.arrival_random.exponential(mean_interval_ms);
   if (arrival_ms >= scenario_.duration_ms) return;
   clock_.schedule(arrival_ms, EventPriority::client, [this, sidecar, arrival_ms] {
@@ -114,7 +114,7 @@
   send_request(id, intended_at_ms);
 }
 
-// None where there is no idle connection that is still open.
+// Returns null if no idle connection is still open.
 LoadClients::Connection* LoadClients::take_idle_connection(std::size_t sidecar) {
   std::vector<std::uint64_t>& idle = sidecars_[sidecar].idle_connections;
   while (!idle.empty()) {
@@ -127,7 +127,7 @@
   return nullptr;
 }
 
-// None where there is no descriptor for it.
+// Returns null if no descriptor is available, the time for new connections is over, or connecting fails.
 LoadClients::Connection* LoadClients::open_connection(std::size_t sidecar) {
   if (descriptors_.available() == 0 || clock_.now() > sidecars_[sidecar].new_connections_until_ms)
     return nullptr;
@@ -277,7 +277,9 @@
   retry_or_conclude(request_id, rejected ? RequestOutcome::rejected : RequestOutcome::failed, retry_after_ms);
 }
 
-// A connection that breaks with an RPC on it loses that; one that the sidecar closed between two is no loss.
+// The request on a broken connection ends as unanswered, or as lost if the sidecar does not run or the time
+// for new connections is over, unless the request is sent again. A connection that breaks while idle loses
+// nothing.
 void LoadClients::on_connection_broken(Connection& connection) {
   const std::uint64_t request_id = connection.request;
   const bool closed_while_idle =
@@ -288,7 +290,8 @@
   if (request_id == 0) return;
   const Sidecar& sidecar = sidecars_[requests_.at(request_id).sidecar];
   const bool sidecar_runs = sidecar.running && clock_.now() <= sidecar.new_connections_until_ms;
-  // The close crossed the RPC on its way: it was not read, and is sent once more on a new connection.
+  // The sidecar's close of the idle connection crossed the request, which is taken as not read and is sent
+  // again on another connection.
   if (closed_while_idle && sidecar_runs) return send_request(request_id, intended_at_ms);
   conclude_request(request_id, sidecar_runs ? RequestOutcome::unanswered : RequestOutcome::lost);
 }
--- a/src/load/load_clients.h
+++ b/src/load/load_clients.h
@@ -1,6 +1,6 @@
 /// \file
-/// The applications: open-loop load on running sidecars. An RPC's latency counts from when it was intended to
-/// be sent, so that a sidecar which holds clients up can't make its own metrics look better.
+/// The applications: open-loop load on running sidecars. The latency of an RPC counts from its intended send
+/// time, so that a sidecar that delays its clients can't improve its own metrics.
 #pragma once
 
 #include <netinet/in.h>
@@ -23,39 +23,39 @@
 
 namespace indigorill::load_generator {
 
-/// What the clients saw.
+/// Counters and latencies as measured by the clients.
 struct ClientMetrics {
   std::uint64_t requests = 0;
-  std::uint64_t sent = 0;  ///< RPCs, retries of the clients included
+  std::uint64_t sent = 0;  ///< RPCs sent, client retries included
   std::uint64_t ok = 0;
   std::uint64_t late = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
   std::uint64_t unanswered = 0;
   std::uint64_t lost = 0;
-  std::uint64_t skipped = 0;  ///< more than allowed, or there was no descriptor for it
+  std::uint64_t skipped = 0;  ///< not sent: over the maximum, or no connection could be opened
   double offered_utility = 0;
   double gained_utility = 0;
-  emulator::LatencyHistogram latency;             ///< from the intended sending
-  emulator::LatencyHistogram send_delay;          ///< from the intended to the actual sending
+  emulator::LatencyHistogram latency;             ///< from the intended send time to the answer
+  emulator::LatencyHistogram send_delay;          ///< from the intended to the actual send time
   std::set<std::string> rejected_non_idempotent;  ///< ids of RPCs that must not have been executed
 
   std::uint64_t open() const { return requests - ok - late - rejected - failed - unanswered - lost; }
   double utility() const { return offered_utility > 0 ? gained_utility / offered_utility : 0; }
 };
 
-/// What one client saw of one RPC. Times are milliseconds of the run.
+/// The client's record of one RPC. Times are milliseconds of the run.
 struct RpcRecord {
   enum class End {
     open,
     answered,
-    departed,       ///< the client left
-    overdue,        ///< no answer came in time, and the client closed
+    departed,       ///< the client left before an answer
+    overdue,        ///< no answer came in time, and the client closed the connection
     closed,         ///< the sidecar closed the connection
-    closed_reused,  ///< the same, of a connection that had carried an answer, with nothing received: they may
-                    ///< cross
-    refused,        ///< the connection never came up
-    killed          ///< the sidecar was killed
+    closed_reused,  ///< the sidecar closed a connection that had carried an answer, before any part of the
+                    ///< next one; the close and the request may have crossed
+    refused,  ///< the connection broke before the request was written completely, for example when refused
+    killed    ///< the sidecar was killed
   };
   double sent_at_ms = 0;
   double deadline_ms = 0;
@@ -65,30 +65,30 @@
 
 class LoadClients {
  public:
-  /// `sidecars`: where they listen; at most `max_requests` are sent. What is passed by reference, but for the
-  /// scenario, must outlive the clients.
+  /// `sidecars`: the addresses that they listen on. At most `max_requests` RPCs are sent, not counting client
+  /// retries. The event loop, the descriptor budget and the clock must outlive the clients.
   LoadClients(EventLoop& loop, FileDescriptorBudget& descriptors, WallClockScheduler& clock,
               const emulator::Scenario& scenario, std::uint64_t seed, std::uint64_t max_requests,
               const std::vector<sockaddr_in>& sidecars);
   ~LoadClients();
 
   void start();
-  /// Its application stops and starts with it.
+  /// The application of a sidecar stops and starts with the sidecar.
   void on_sidecar_stopped(std::size_t sidecar);
   void on_sidecar_started(std::size_t sidecar);
   void multiply_rate(double factor) { rate_factor_ *= factor; }
-  /// The sidecar was told to end: connections that are open are used on, new ones until this time.
+  /// The sidecar has got SIGTERM: clients go on using open connections, and open new ones until this time.
   void on_sidecar_terminating(std::size_t sidecar, double new_connections_until_ms);
-  /// Clients wait so much longer than their deadline for an answer.
+  /// Sets how long after the deadline a client still waits for an answer.
   void set_overdue_allowance(double allowance_ms) { overdue_allowance_ms_ = allowance_ms; }
-  /// This share of the clients leave at a random moment before their deadline.
+  /// Sets the share of RPCs whose client leaves at a random time before the deadline.
   void set_departure_share(double share) { departure_share_ = share; }
-  /// Those with an open request leave now, with this probability each.
+  /// Each client with a request in flight leaves now with this probability.
   void depart(double probability);
 
   const ClientMetrics& metrics() const { return metrics_; }
   std::size_t open() const { return requests_.size(); }
-  /// By the id of the RPC; a client's retries are RPCs of their own.
+  /// Records by RPC id. Each retry of a client is an RPC with its own id.
   const std::unordered_map<std::string, RpcRecord>& records() const { return records_; }
   bool is_non_idempotent(const std::string& rpc_id) const { return non_idempotent_ids_.count(rpc_id) > 0; }
 
--- a/src/load/load_faults.cpp
+++ b/src/load/load_faults.cpp
@@ -17,7 +17,7 @@
 using emulator::RandomStream;
 using Kind = emulator::Fault::Kind;
 
-constexpr double ready_interval_ms = 5;  // how often a restarted sidecar is tried
+constexpr double ready_interval_ms = 5;  // between attempts to connect to a restarted sidecar
 
 void schedule_event(const FaultTargets& targets, double time_ms, emulator::EventQueue::Callback callback) {
   targets.bed.clock.schedule(time_ms, EventPriority::fault, std::move(callback));
@@ -31,7 +31,8 @@
                  [&clients, factor] { clients.multiply_rate(1 / factor); });
 }
 
-// Cuts the given sidecars off from all others, or connects them again.
+// Cuts the given sidecars off from all others, or connects them again. `one_way` affects only datagrams to
+// the given sidecars.
 void set_partition(SidecarProcesses& sidecars, const std::set<std::size_t>& cut_off, bool one_way,
                    bool is_partitioned) {
   DatagramProxy& proxy = sidecars.datagram_proxy();
@@ -60,14 +61,16 @@
   return socket && ::connect(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
 }
 
-// Its application waits until the sidecar is ready, without holding up the others.
+// Starts the application of a sidecar once the sidecar accepts connections. The wait does not block other
+// applications.
 void start_application_when_ready(LoadTestBed& bed, LoadClients& clients, std::size_t sidecar) {
   if (accepts_connections(bed.sidecar_addresses[sidecar])) return clients.on_sidecar_started(sidecar);
   bed.clock.schedule(bed.clock.now() + ready_interval_ms, EventPriority::client,
                      [&bed, &clients, sidecar] { start_application_when_ready(bed, clients, sidecar); });
 }
 
-// The machine stands still, the application too: what that had requested is lost to it.
+// Emulates a machine that stands still: the application stops with its sidecar, and the application's open
+// requests are lost.
 void schedule_suspension(const FaultTargets& targets, std::size_t sidecar, double start_ms, double end_ms) {
   SidecarProcess& process = targets.sidecars->process(sidecar);
   LoadClients& clients = targets.clients;
@@ -94,7 +97,7 @@
     clients.on_sidecar_stopped(sidecar);
   });
   schedule_event(targets, end_ms, [&process, &clients, &bed, sidecar] {
-    process.kill_and_wait();  // one that was told to terminate and hangs
+    process.kill_and_wait();  // in case the process got SIGTERM and has not exited
     process.start();
     start_application_when_ready(bed, clients, sidecar);
   });
--- a/src/load/load_faults.h
+++ b/src/load/load_faults.h
@@ -12,17 +12,17 @@
 
 namespace indigorill::load_generator {
 
-/// What faults act on; all of it must outlive the run.
+/// The objects that faults act on, which must outlive the run.
 struct FaultTargets {
   LoadTestBed& bed;
   LoadClients& clients;
-  SidecarProcesses* sidecars;  ///< null where the sidecars are not ours: then no fault may be of sidecars
+  SidecarProcesses* sidecars;  ///< null if not started by this program; no fault may be of sidecars then
 };
 
-/// Whether it needs sidecar processes that this program has started.
+/// Whether a fault of this kind needs sidecar processes that this program has started.
 bool is_sidecar_fault(emulator::Fault::Kind kind);
 
-/// `index`: of the fault in the scenario, for its random draws.
+/// `index`: the fault's position in the scenario, which selects the seed of its random draws.
 void schedule_fault(const FaultTargets& targets, const emulator::Fault& fault, std::size_t index,
                     std::uint64_t seed);
 
