--- a/src/load/datagram_proxy.h
+++ b/src/load/datagram_proxy.h
@@ -1,6 +1,6 @@
 /// \file
-/// A proxy for the datagrams between sidecars, through which every one passes. It may lose, delay, duplicate,
-/// reorder or cut them off, for each pair and each direction separately.
+/// A proxy through which all datagrams between sidecars pass. It can lose, delay, duplicate and reorder them,
+/// and cut off each direction of each pair of sidecars separately.
 #pragma once
 
 #include <netinet/in.h>
@@ -23,14 +23,14 @@
 
 class DatagramProxy {
  public:
-  /// loss, duplicated and late are shares of all datagrams.
+  /// `loss`, `duplicated` and `late` are probabilities for each datagram.
   struct NetworkConditions {
     double loss = 0;
     double duplicated = 0;
     double delay_ms = 0;
-    double jitter_ms = 0;  ///< up to so much more, so that datagrams overtake each other
+    double jitter_ms = 0;  ///< maximum of a random additional delay, which lets datagrams overtake each other
     double late = 0;
-    double late_by_ms = 0;  ///< how much later still the late ones come
+    double late_by_ms = 0;  ///< further delay of a late datagram
   };
   struct Counters {
     std::uint64_t received = 0;
@@ -42,17 +42,17 @@
     std::uint64_t bytes = 0;
   };
 
-  /// `sidecars`: where they listen for datagrams. The loop must outlive the proxy.
+  /// `sidecars`: their addresses for datagrams. The event loop must outlive the proxy.
   DatagramProxy(EventLoop& loop, std::vector<sockaddr_in> sidecars, const NetworkConditions& conditions,
                 std::uint64_t seed);
 
-  /// Where other sidecars reach this one.
+  /// Address at which other sidecars reach this one.
   std::string address_for_peers(std::size_t sidecar) const;
   void set_partitioned(std::size_t from, std::size_t to, bool is_partitioned);
   void set_conditions(const NetworkConditions& conditions) { conditions_ = conditions; }
-  /// Delivers a datagram as if a sidecar, or somebody else, had sent it.
+  /// Delivers a datagram as if a sidecar or another host had sent it, without loss, delay or partition.
   void inject(std::size_t recipient, std::string_view bytes) { deliver(recipient, std::string(bytes), 0); }
-  /// The last datagrams to a sidecar, to be sent again much later.
+  /// The last datagrams forwarded to a sidecar, kept so that they can be replayed much later.
   const std::vector<std::string>& recent_datagrams_to(std::size_t sidecar) const {
     return recent_datagrams_[sidecar];
   }
--- a/src/load/effect_rules.h
+++ b/src/load/effect_rules.h
@@ -1,5 +1,6 @@
 /// \file
-/// Rule 2, judged from both ends: no effect twice, and no rejection of what was executed.
+/// Checks rule 2 against the observations of clients and servers: a non-idempotent RPC is not executed twice,
+/// and is not rejected if it was executed.
 #pragma once
 
 #include <string>
@@ -10,7 +11,7 @@
 
 namespace indigorill::load_generator {
 
-/// A line for each way in which the rule was broken.
+/// Returns one line for each kind of violation of the rule.
 std::vector<std::string> find_effect_violations(const FakeFleet& fleet, const LoadClients& clients);
 
 }  // namespace indigorill::load_generator
--- a/src/load/fake_discovery.cpp
+++ b/src/load/fake_discovery.cpp
@@ -1,4 +1,4 @@
-// The endpoint list of the fake fleet: an agent for each sidecar, which answers polls and watches.
+// The endpoint list of the fake fleet. Each sidecar has an agent that answers its polls and watches.
 #include <algorithm>
 #include <array>
 #include <nlohmann/json.hpp>
@@ -15,7 +15,7 @@
 
 namespace {
 
-// The lifecycle of an endpoint on the wire, in the order of EndpointState.
+// Names of an endpoint's lifecycle on the wire, in the order of EndpointState.
 constexpr std::array<const char*, 3> lifecycle_names{"up", "draining", "removed"};
 
 bool is_removed(const std::string& formatted_endpoint) {
@@ -123,7 +123,8 @@
   for (const Watch& watch : watches) answer_with_changes(agent, watch.connection, watch.known_changes);
 }
 
-// A request names the generation that the sidecar has, and how long it waits for a change of it.
+// A request holds the generation of the sidecar's list (`index`) and the time in ms that the sidecar waits
+// for a change of that list (`wait`).
 void FakeFleet::on_discovery_poll(std::size_t agent, std::uint64_t connection, const http::Message& request) {
   clock_.run_due_events();
   ++counters_.discovery_polls;
@@ -168,7 +169,7 @@
   std::erase_if(agents_[agent]->watches, [&](const Watch& watch) { return watch.connection == connection; });
 }
 
-// As this agent has it: what came later is not known to it.
+// Sends the list as this agent knows it, without changes that have not reached the agent yet.
 void FakeFleet::answer_with_full_list(std::size_t agent, std::uint64_t connection) {
   std::map<std::size_t, std::string> endpoints;
   const auto initial_servers = static_cast<std::size_t>(scenario_.initial_server_count());
--- a/src/load/http_get.h
+++ b/src/load/http_get.h
@@ -1,5 +1,5 @@
 /// \file
-/// One HTTP GET to a sidecar. The event loop, and what else is on it, goes on meanwhile.
+/// One HTTP GET to a sidecar. The event loop goes on serving its other timers and sockets meanwhile.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,11 +17,12 @@
   std::string body;
 };
 
-/// None where no answer comes within the timeout.
+/// Returns nullopt if the connection fails or no complete answer arrives within the timeout.
 std::optional<HttpAnswer> http_get(EventLoop& loop, const sockaddr_in& address, const std::string& path,
                                    double timeout_ms);
 
-/// Whether the sidecar says within the timeout that it is ready; `is_hopeless` ends the wait early.
+/// Polls the sidecar's /-/ready until the sidecar answers 200. Returns false after the timeout, or earlier
+/// once `is_hopeless` returns true.
 bool wait_until_ready(EventLoop& loop, const sockaddr_in& address, double timeout_ms,
                       const std::function<bool()>& is_hopeless);
 
--- a/src/load/http_listener.cpp
+++ b/src/load/http_listener.cpp
@@ -90,8 +90,8 @@
   flush(connection);
 }
 
-// What can't be written now is written when the socket is ready again; a broken connection is found by
-// reading.
+// Output that can't be written now is written when the socket is ready again. The result of a write is
+// ignored: a broken connection is detected by reading.
 void HttpListener::flush(Connection& connection) {
   if (!frozen_ && !connection.output.is_complete()) connection.transport->write(connection.output);
 }
--- a/src/load/http_listener.h
+++ b/src/load/http_listener.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a fake server or discovery agent serves by: a listener on loopback and its connections, one request
-/// at a time on each.
+/// The HTTP server of a fake server or discovery agent: a listener on loopback and its connections, with one
+/// request at a time on each.
 #pragma once
 
 #include <netinet/in.h>
@@ -18,15 +18,15 @@
 
 namespace indigorill::load_generator {
 
-/// Connections are numbered, in the order in which they are accepted. Loop and budget must outlive the
-/// listener.
+/// Connections are numbered in the order in which they are accepted. The event loop and the descriptor budget
+/// must outlive the listener.
 class HttpListener {
  public:
   /// Called with each complete request; the answer may come later, by send_answer().
   using RequestHandler = std::function<void(std::uint64_t connection, const http::Message& request)>;
   using CloseHandler = std::function<void(std::uint64_t connection)>;
 
-  /// `port` 0: one of the kernel's choice, kept while the listener is closed as well.
+  /// `port` 0: the kernel chooses the port, which stays reserved while the listener is closed.
   HttpListener(EventLoop& loop, FileDescriptorBudget& descriptors, RequestHandler on_request,
                CloseHandler on_closed, std::uint16_t port);
   ~HttpListener();
@@ -34,13 +34,13 @@
   void open();
   /// Closes the listener and every connection.
   void close_all();
-  /// Open connections stay.
+  /// Closes the listener; open connections stay open.
   void stop_accepting();
   bool is_listening() const { return static_cast<bool>(socket_); }
   bool is_open(std::uint64_t connection) const { return connections_.count(connection) > 0; }
-  /// Until close_all(): nothing is accepted, read, written or closed.
+  /// Stops accepting, reading, writing and closing, until close_all() and open() are called.
   void freeze() { frozen_ = true; }
-  /// Does nothing where the connection is closed.
+  /// Does nothing if the connection is closed.
   void send_answer(std::uint64_t connection, std::string bytes);
 
   const sockaddr_in& address() const { return address_; }
--- a/src/load/http_response.h
+++ b/src/load/http_response.h
@@ -1,5 +1,5 @@
 /// \file
-/// Parts of the HTTP that fake servers and agents speak.
+/// HTTP responses and query parameters of the fake servers and discovery agents.
 #pragma once
 
 #include <string>
@@ -13,13 +13,14 @@
 constexpr int server_error_status = 500;
 constexpr int unavailable_status = 503;
 
-/// `headers`: complete lines.
+/// `headers`: complete header lines, each with its CRLF.
 std::string format_response(int status, const std::string& body, const std::string& headers = "");
 
-/// A positive number; 0 for anything else.
+/// Parses a positive number; returns 0 for any other text.
 double parse_positive(std::string_view text);
 
-/// The value of one parameter of a request target's query, as by parse_positive(); -1 where it is absent.
+/// Parses one parameter of a request target's query by parse_positive(); returns -1 if the parameter is
+/// absent.
 double query_parameter(std::string_view target, std::string_view name);
 
 }  // namespace indigorill::load_generator
