--- a/src/load/load_report.h
+++ b/src/load/load_report.h
@@ -1,5 +1,5 @@
 /// \file
-/// The report of a run on sockets, for people.
+/// Prints the readable report of a run on sockets.
 #pragma once
 
 #include <ostream>
--- a/src/load/load_test_bed.cpp
+++ b/src/load/load_test_bed.cpp
@@ -19,15 +19,15 @@
 using nlohmann::json;
 
 constexpr std::size_t max_descriptors = 1 << 20;
-constexpr std::size_t reserved_descriptors = 32;  // for all that is no socket
+constexpr std::size_t reserved_descriptors = 32;  // for files that are not sockets
 constexpr std::size_t max_port = 65535;
 constexpr double us_per_ms = 1000;
 
-// The words of the settings on the wire, in the order of RetrySafety and of DeduplicationScope.
+// Names of the settings on the wire, in the order of RetrySafety and of DeduplicationScope.
 constexpr std::array<const char*, 3> effect_names{"retryable", "dedup", "fragile"};
 constexpr std::array<const char*, 3> group_names{"all", "zone", "cell"};
 
-// As many descriptors as this process may have.
+// Raises this process's descriptor limit to the hard limit and returns it, capped at max_descriptors.
 std::size_t raise_descriptor_limit() {
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
@@ -106,9 +106,10 @@
   const auto sidecars = static_cast<std::size_t>(config.scenario.sidecars);
   const auto servers = static_cast<std::size_t>(config.scenario.initial_server_count());
   if (sidecars > sidecar_port_offset)
-    throw std::runtime_error("at most " + std::to_string(sidecar_port_offset) + " sidecars on sockets");
+    throw std::runtime_error("a run on sockets supports at most " + std::to_string(sidecar_port_offset) +
+                             " sidecars");
   if (config.base_port > 0 && config.base_port + server_port_offset + servers > max_port)
-    throw std::runtime_error("--base-port leaves no room for the servers' ports");
+    throw std::runtime_error("--base-port is too high for the servers' ports");
   fleet =
       std::make_unique<FakeFleet>(loop, descriptors, clock, config.scenario, config.seed, config.base_port);
   for (std::size_t i = 0; i < sidecars; ++i)
--- a/src/load/load_test_bed.h
+++ b/src/load/load_test_bed.h
@@ -1,5 +1,5 @@
 /// \file
-/// The fakes of a run, and where its sidecars listen.
+/// The fakes of a run and the addresses that its sidecars listen on.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,7 +17,7 @@
 namespace indigorill::load_generator {
 
 struct LoadTestBed {
-  /// Throws std::runtime_error where the scenario has too many sidecars or servers for its ports.
+  /// Throws std::runtime_error if the scenario has too many sidecars or servers for its ports.
   explicit LoadTestBed(const LoadRunConfig& config);
 
   EventLoop loop;
@@ -27,16 +27,16 @@
   std::vector<sockaddr_in> sidecar_addresses;
 };
 
-/// The configuration of one sidecar, as the platform would give it. `known_endpoints`: the list that it
-/// starts with.
+/// The configuration of one sidecar, as the platform would give it. `known_endpoints`: the endpoint
+/// list that the sidecar starts with.
 nlohmann::json make_sidecar_config(const emulator::Scenario& scenario, std::size_t sidecar,
                                    const std::string& listen_address, const std::string& discovery_address,
                                    const std::string& known_endpoints, std::uint64_t seed);
 
-/// The same on a test bed.
+/// The configuration of one sidecar on a test bed.
 nlohmann::json make_sidecar_config(const LoadRunConfig& config, const LoadTestBed& bed, std::size_t sidecar);
 
-/// Writes n0.json, n1.json, ... into a directory. Throws std::runtime_error.
+/// Writes n0.json, n1.json, ... into a directory. Throws std::runtime_error if this fails.
 void write_sidecar_configs(const LoadRunConfig& config, const std::string& directory);
 
 }  // namespace indigorill::load_generator
--- a/src/load/loopback.cpp
+++ b/src/load/loopback.cpp
@@ -46,14 +46,14 @@
   const int on = 1;
   FileDescriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   if (socket) ::setsockopt(socket.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  bind_to_any_port(socket, "no free port");
+  bind_to_any_port(socket, "can't bind a TCP port");
   reserved.push_back(std::move(socket));
   return bound_address(reserved.back());
 }
 
 FileDescriptor reserve_datagram_port(sockaddr_in& address) {
   FileDescriptor socket(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  bind_to_any_port(socket, "no port for datagrams");
+  bind_to_any_port(socket, "can't bind a UDP port");
   address = bound_address(socket);
   return socket;
 }
--- a/src/load/scenario_runner.cpp
+++ b/src/load/scenario_runner.cpp
@@ -22,7 +22,8 @@
 constexpr double drain_allowance_ms = 1000;  // after the longest deadline
 constexpr double max_round_ms = 20;
 constexpr double second_ms = 1000;
-// Retries that were sent within a window are received within a little more.
+// The check of the quota counts retries in windows that are shorter than a second by this, since delivery
+// delays can bring retries closer together than they were sent.
 constexpr double delivery_allowance_ms = 50;
 // A late sender measures itself: its clock stands while it is busy.
 constexpr double max_send_delay_ms = 5;
@@ -49,7 +50,7 @@
                        .max_quota_holders = gossip.max_quota_holders};
 }
 
-// Null where the sidecars run already.
+// Returns null if the sidecars are already running.
 std::unique_ptr<SidecarProcesses> start_sidecars(const LoadRunConfig& config, LoadTestBed& bed) {
   if (config.sidecar_command.empty()) return nullptr;
   auto sidecars = std::make_unique<SidecarProcesses>(
@@ -100,7 +101,7 @@
   return counts;
 }
 
-// Judged by what the servers received.
+// Checks the retry quota against the retries that the servers received.
 void check_retry_quota(const emulator::Scenario& scenario, const FakeFleet& fleet, LoadRunResult& result) {
   const double quota_per_second = scenario.gossip.retries_per_second;
   result.retries = fleet.retry_times().size();
--- a/src/load/scenario_runner.h
+++ b/src/load/scenario_runner.h
@@ -1,14 +1,14 @@
 /// \file
-/// Plays a scenario on sockets: real sidecars, fakes of all that is around them, open-loop load, and the
-/// verdict from what both ends saw.
+/// Runs a scenario on sockets, with real sidecars, fakes of the services around them and open-loop load, and
+/// checks the rules against the observations of clients and servers.
 #pragma once
 
 #include "load/load_run.h"
 
 namespace indigorill::load_generator {
 
-/// Takes no longer than the scenario, its longest deadline and a second, after the sidecars are ready. Throws
-/// std::runtime_error where it can't begin.
+/// After the sidecars are ready, the run takes at most the scenario's duration, its longest deadline and 1 s.
+/// Throws std::runtime_error if the run can't start.
 LoadRunResult run_scenario(const LoadRunConfig& config);
 
 }  // namespace indigorill::load_generator
--- a/src/load/sidecar_process.cpp
+++ b/src/load/sidecar_process.cpp
@@ -14,7 +14,7 @@
 namespace indigorill::load_generator {
 namespace {
 
-constexpr int exec_failed_status = 127;  // as a shell has it
+constexpr int exec_failed_status = 127;  // the status that a shell returns in this case
 constexpr mode_t log_file_mode = 0600;
 
 }  // namespace
@@ -22,7 +22,7 @@
 TemporaryDirectory::TemporaryDirectory() {
   std::string name = (std::filesystem::temp_directory_path() / "indigorill-load-XXXXXX").string();
   if (!::mkdtemp(name.data()))
-    throw std::system_error(errno, std::generic_category(), "can't make a folder for the configs");
+    throw std::system_error(errno, std::generic_category(), "can't create a directory for the configs");
   path = name;
 }
 
@@ -37,7 +37,7 @@
   if (pid_ == 0) run_command();
 }
 
-// In the child.
+// Runs in the child process.
 void SidecarProcess::run_command() const {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   for (const auto& [name, value] : environment_) ::setenv(name.c_str(), value.c_str(), 1);
--- a/src/load/sidecar_process.h
+++ b/src/load/sidecar_process.h
@@ -11,7 +11,8 @@
 
 namespace indigorill::load_generator {
 
-/// A directory for the files of a run; removed with the object. The constructor throws std::system_error.
+/// A temporary directory for the files of a run, removed by the destructor. The constructor throws
+/// std::system_error if it can't create the directory.
 struct TemporaryDirectory {
   std::filesystem::path path;
   TemporaryDirectory();
@@ -20,29 +21,30 @@
   TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
 };
 
-/// One process; it is killed with the object, and ends with this program.
+/// One process. The destructor kills it, and the kernel kills it when this program ends.
 class SidecarProcess {
  public:
-  using Environment = std::vector<std::pair<std::string, std::string>>;  ///< added to this program's own
+  /// Variables added to this program's environment.
+  using Environment = std::vector<std::pair<std::string, std::string>>;
 
-  /// `log_file` gets what it writes to standard error.
+  /// The standard error of the process is appended to `log_file`.
   SidecarProcess(std::string command, Environment environment, std::string log_file)
       : command_(std::move(command)), environment_(std::move(environment)), log_file_(std::move(log_file)) {}
   ~SidecarProcess() { kill_and_wait(); }
   SidecarProcess(const SidecarProcess&) = delete;
   SidecarProcess& operator=(const SidecarProcess&) = delete;
 
-  /// Throws std::system_error where no process can be made.
+  /// Throws std::system_error if no process can be created.
   void start();
   void kill_and_wait();
-  /// Does nothing where it does not run.
+  /// Does nothing if the process is not running.
   void send_signal(int signal);
-  /// Whether it has ended by itself since the last call.
+  /// Whether the process has ended by itself since the last call.
   bool has_exited();
   bool is_running() const { return pid_ > 0; }
-  /// Of one that has ended by itself: whether with status 0.
+  /// Whether the process has ended by itself with status 0.
   bool exited_cleanly() const;
-  /// Of the log file.
+  /// The last line of the log file.
   std::string last_line() const;
 
  private:
--- a/src/load/sidecar_processes.cpp
+++ b/src/load/sidecar_processes.cpp
@@ -68,7 +68,8 @@
                                    const std::optional<GossipOptions>& gossip, std::uint64_t seed)
     : loop_(loop), addresses_(std::move(addresses)) {
   std::vector<sockaddr_in> datagram_addresses(gossip ? addresses_.size() : 0);
-  // Held until the proxy has its own sockets, so that it is given none of these ports.
+  // These ports stay reserved until the proxy has bound its own sockets, so that the kernel gives it none of
+  // them.
   std::vector<FileDescriptor> reservations;
   for (sockaddr_in& address : datagram_addresses) {
     reservations.push_back(reserve_datagram_port(address));
@@ -83,7 +84,7 @@
   }
 }
 
-// Returns the environment that names the files.
+// Writes the files of one sidecar and returns the environment variables that name them.
 SidecarProcess::Environment SidecarProcesses::write_files(
     std::size_t sidecar, nlohmann::json config, const std::optional<GossipOptions>& gossip,
     const std::vector<sockaddr_in>& datagram_addresses) {
@@ -103,7 +104,7 @@
 
 void SidecarProcesses::replace_config(std::size_t sidecar, const nlohmann::json& config) const {
   constexpr int json_indent = 1;
-  // Renamed in place, so that it is never read in part.
+  // The file is written under another name and then renamed, so that the sidecar never reads a part of it.
   const std::filesystem::path config_file = directory_.path / (sidecar_name(sidecar) + ".json");
   const std::filesystem::path written = directory_.path / (sidecar_name(sidecar) + ".json.new");
   write_file(written, config.dump(json_indent));
--- a/src/load/wall_clock_scheduler.h
+++ b/src/load/wall_clock_scheduler.h
@@ -1,5 +1,5 @@
 /// \file
-/// The emulator's event queue on the wall clock: its servers and faults, played by fakes on sockets.
+/// Runs the emulator's event queue by the wall clock, for emulated servers and faults behind real sockets.
 #pragma once
 
 #include <utility>
@@ -14,7 +14,7 @@
  public:
   explicit WallClockScheduler(EventLoop& loop) : loop_(loop) {}
 
-  /// `elapsed_ms`: the start lies so far in the past, as for a process that was held up at once.
+  /// The start lies `elapsed_ms` in the past, as if the process had been held up right after the start.
   void start(double elapsed_ms = 0) {
     started_at_ms_ = loop_.now() - elapsed_ms;
     started_ = true;
@@ -24,7 +24,7 @@
   double now() const { return loop_.now() - started_at_ms_; }
   double to_unix_ms(double time_ms) const { return started_at_ms_ + time_ms; }
 
-  /// Runs all events that are due; to be called before anything is scheduled for now.
+  /// Runs all events that are due. Has to be called before an event is scheduled for the current time.
   void run_due_events() {
     if (!started_ || std::exchange(running_events_, true)) return;
     while (events_.run_next(now())) {
@@ -33,7 +33,7 @@
     arm_timer();
   }
 
-  /// Its clock stands at the time of the event that runs, however late that is.
+  /// The queue's clock shows the time of the running event, even if the event runs late.
   emulator::EventQueue& queue() { return events_; }
 
   void schedule(double time_ms, emulator::EventPriority priority, emulator::EventQueue::Callback callback) {
