--- a/tests/discovery_recovery_test.cpp
+++ b/tests/discovery_recovery_test.cpp
@@ -1,10 +1,10 @@
-// Discovery's return after an outage, emulated: all sidecars poll one service, which works on polls given up
-// as well.
+// Recovery of discovery after an outage, in the emulator: all sidecars poll one service, which also works on
+// polls that a sidecar has given up.
 //
-// What happened: lists came up to 15 s after the return, as the load balancer's wait after failed polls grew
-// to that. A short wait alone is not enough: where each poll is also given up before its turn in the
-// service's queue, sidecars poll ever anew and the service is kept busy with polls that nobody waits for. An
-// overdue poll therefore stays open.
+// The tests guard against endpoint lists that arrive up to 15 s after the recovery, because the load
+// balancer's backoff after failed polls had grown to that. A short backoff alone is not enough: if each poll
+// is given up before its turn in the service's queue, sidecars poll again and again, and the service only
+// works on polls that no sidecar waits for. An overdue poll therefore stays open.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -18,12 +18,12 @@
 
 namespace {
 
-// From the start of a failed poll to the next one, at most.
+// Maximum time from the start of a failed poll to the next poll.
 constexpr double poll_interval_ms = 3500;
 
 struct Recovery {
   int sidecar_count = 0;
-  double load = 0;  // polls of all sidecars every poll_interval_ms, over what the service can answer
+  double load = 0;  // polls of all sidecars in poll_interval_ms, divided by the service's capacity
   int queue_capacity = 0;
 
   RunMetrics run(std::uint64_t seed) const {
@@ -36,14 +36,13 @@
   }
 };
 
-// The scenario's: servers begin to drain 10 s before discovery is back.
+// In the scenario, servers start to drain 10 s before discovery recovers.
 constexpr double change_to_return_ms = 10000;
 
 }  // namespace
 
 TEST_CASE(
-    "emulator: a change during an outage of discovery is known 6 s after its return, at its service's "
-    "limit") {
+    "emulator: a change during a discovery outage is known within 6 s of recovery at or below capacity") {
   for (const int sidecar_count : {32, 300})
     for (const double load : {0.8, 1.0})
       for (const std::uint64_t seed : {1, 2, 3}) {
@@ -55,15 +54,15 @@
       }
 }
 
-TEST_CASE(
-    "emulator: a service of discovery past its limit, with and without a bound on its queue, recovers") {
+TEST_CASE("emulator: a discovery service over its capacity recovers with and without a limit on its queue") {
   for (const int sidecar_count : {32, 300})
     for (const int queue_capacity : {50, 1000000}) {
       CAPTURE(sidecar_count);
       CAPTURE(queue_capacity);
       const RunMetrics metrics = Recovery{sidecar_count, 1.5, queue_capacity}.run(1);
       CHECK(metrics.endpoint_convergence_ms > change_to_return_ms);
-      // What it needs for one list for each sidecar, and as long again for polls in vain.
+      // The time that the service needs for one list for each sidecar, and as long again for polls whose
+      // answers are not used.
       CHECK(metrics.endpoint_convergence_ms <= change_to_return_ms + 2 * 1.5 * poll_interval_ms);
     }
 }
