--- a/include/indigorill/load_balancer.h
+++ b/include/indigorill/load_balancer.h
@@ -45,7 +45,7 @@
 struct LoadBalancerConfig {
   std::vector<MethodConfig> methods;
   std::string zone;    ///< zone of this sidecar
-  double tick_ms = 1;  ///< shortest time between two rounds of the host
+  double tick_ms = 1;  ///< minimum interval at which batches of events arrive from the host
   int max_attempts = 1;
   bool cancellation_enabled = false;
   bool probing_enabled = false;
--- a/src/cluster/cluster_node.cpp
+++ b/src/cluster/cluster_node.cpp
@@ -88,7 +88,9 @@
   run_leader_lease();
   request_quota();
   log_changes();
-  constexpr double min_delay_ms = 1;  // without it, timers always due could starve the other events
+  // Without a minimum, work that is always due would run in each iteration of the event loop, which would
+  // then be busy without pause.
+  constexpr double min_delay_ms = 1;
   const double delay_ms = std::max(min_delay_ms, next_work_at() - now_ms());
   work_timer_ = event_loop_.schedule_at(event_loop_.now() + delay_ms, [this] { run_due_work(); });
 }
--- a/src/cluster/replay_filter.h
+++ b/src/cluster/replay_filter.h
@@ -17,9 +17,9 @@
 
 /// The reason why a decoded datagram is dropped.
 enum class ReplayError : std::uint8_t {
-  stale_incarnation,  ///< Of an earlier incarnation of its sender than the latest one received.
+  stale_incarnation,  ///< The sender's incarnation is earlier than the latest one received.
   duplicate,
-  outside_window,  ///< So late that it cannot be distinguished from a duplicate.
+  outside_window,  ///< The datagram is too late to be distinguished from a duplicate.
 };
 constexpr std::size_t replay_error_count = 3;
 
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -28,8 +28,9 @@
 
 constexpr double max_clock_drift = 0.1;
 
-// A renewal takes one round of three messages each way; a third of the lease has to leave time for two lost
-// rounds.
+// A round takes two round trips: prepare and its reply, propose and its reply. A lease is renewed after a
+// third of its duration. At this minimum each third is longer than three times timeout_ms, so a round fits in
+// it if each reply arrives within timeout_ms.
 constexpr double min_probe_timeouts_per_lease = 10;
 
 // A grant is renewed after a third of its duration, and one renewal may fail.
--- a/src/event/event_loop.cpp
+++ b/src/event/event_loop.cpp
@@ -10,8 +10,8 @@
 namespace indigorill {
 namespace {
 
-// As many as the process may hold descriptors, so that one iteration sees all ready ones and can dispatch
-// those with priority first.
+// As many events as the process may hold descriptors, so that one iteration sees all ready descriptors and
+// can dispatch those with priority first.
 constexpr std::size_t max_events_per_iteration = 1024;
 
 // No timer depends on this bound, since each timer shortens the wait.
--- a/src/limits/fleet_limiter.cpp
+++ b/src/limits/fleet_limiter.cpp
@@ -19,8 +19,8 @@
 constexpr double slot_overlap = 2;
 // Probability that the random division exceeds a limit in one slot of one server.
 constexpr double violation_probability = 1e-6;
-// Added to the delay until the next slot, since a retry exactly at the boundary could fall into the old slot
-// again each time.
+// Added to the delay until the next slot: because of rounding, a retry exactly at the boundary could fall
+// into the old slot again each time.
 constexpr double slot_boundary_margin_ms = 1;
 
 constexpr double max_instances = 1e7;
--- a/src/load_balancer/candidate_scoring.cpp
+++ b/src/load_balancer/candidate_scoring.cpp
@@ -184,11 +184,13 @@
   constexpr double per_latency_objective = 30;  // an RPC in flight costs 4 to 9 halvings
   constexpr double per_cross_zone_cost = 40;
   constexpr double per_handshake_cost = 100;
-  constexpr double over_max_queue_depth = 20;  // more than key affinity adds
-  constexpr double unanswered_probe = 8;       // a dead endpoint answers no health check
-  constexpr double not_probed = 3;             // added to the logarithm of the number of endpoints
-  constexpr double already_tried = 4;          // a retry more likely succeeds at another endpoint
-  constexpr double key_affinity = 20;          // a long queue still outweighs it
+  // As much as key affinity adds, so that affinity does not keep an RPC at an endpoint over the maximum
+  // depth.
+  constexpr double over_max_queue_depth = 20;
+  constexpr double unanswered_probe = 8;  // a dead endpoint answers no health check
+  constexpr double not_probed = 3;        // added to the logarithm of the number of endpoints
+  constexpr double already_tried = 4;     // a retry more likely succeeds at another endpoint
+  constexpr double key_affinity = 20;     // a long queue still outweighs it
   const TrackedEndpoint& endpoint = *candidate.endpoint;
   const bool is_unsent = endpoint.last_sent_at_ms == never;
   const bool is_warm = candidate.slow_start_weight >= 1;
--- a/src/load_balancer/slow_start.cpp
+++ b/src/load_balancer/slow_start.cpp
@@ -3,7 +3,9 @@
 namespace indigorill {
 namespace {
 
-// Share of the configured overload factor that is used: an overloaded mean leaves room.
+// Share of the configured overload factor that is used. The bounds are derived from the mean load per
+// endpoint. If the fleet is overloaded, that mean is itself above what an endpoint can serve, and the other
+// half of the factor is the margin for this.
 constexpr double overload_share = 0.5;
 
 }  // namespace
--- a/src/load_balancer/weighted_draw.cpp
+++ b/src/load_balancer/weighted_draw.cpp
@@ -44,8 +44,9 @@
 // used its one token for it. Probability above the bound of one starting endpoint goes to the others in
 // proportion to their headroom.
 std::size_t draw_with_slow_start_limit(BalancerState& state, const TrackedRpc& rpc, CandidateSet& set) {
-  // Share of the best weight without a bound that an endpoint must exceed to get more: a failure alone
-  // takes more.
+  // An endpoint in slow start gets a part of the excess only if its weight is above this fraction, six
+  // halvings, of the best weight of the endpoints without a bound. Otherwise a failing endpoint in slow start
+  // would get a share up to its bound from the excess.
   constexpr double min_weight_ratio = 0x1p-6;
   const LimitedCandidates limited = limited_candidates(state, rpc, set);
   if (limited.entries.empty() || limited.entries.size() == set.candidates.size())
--- a/src/membership/membership_probing.cpp
+++ b/src/membership/membership_probing.cpp
@@ -10,8 +10,7 @@
 
 using Kind = SwimMessage::Kind;
 
-// SWIM's k: with three helpers at 20 % loss a live member is missed by all of them once in 150 probes or
-// less.
+// SWIM's k. If 20 % of the messages are lost, all three ping requests of a probe are lost once in 125 probes.
 constexpr std::size_t indirect_probe_fanout = 3;
 // Bound on the concurrent pings on behalf of other members; further requests are ignored.
 constexpr std::size_t max_indirect_probes = 256;
--- a/src/proxy/http_server_limits.cpp
+++ b/src/proxy/http_server_limits.cpp
@@ -54,9 +54,9 @@
   return true;
 }
 
-// Clients that ask once and stay may hold no more connections some day, and then can't ask: idle ones are
-// closed, oldest first. Returns true if there are too many and all are young: then a response ends its
-// connection.
+// A client that opens a connection for each request and keeps it open reaches its own limit of connections
+// some time and then can't send. So if too many connections have no RPC, silent and idle ones above a minimum
+// age are closed, the oldest first. Returns true if too many remain: a response then ends its connection.
 bool HttpServer::over_idle_limit() {
   constexpr double min_silent_age_ms = 500;
   constexpr double min_idle_age_ms = 2000;
--- a/src/proxy/sidecar.cpp
+++ b/src/proxy/sidecar.cpp
@@ -101,9 +101,10 @@
 }
 
 HttpServer::Limits Sidecar::http_server_limits() const {
-  // Clients hold a third of the descriptors at most for requests, so a third is enough for their attempts,
-  // and half of what they may hold may be idle. A third of the memory is for requests, which leaves a
-  // third for responses and a third for the overhead of the allocator.
+  // Client connections may use two thirds of the descriptors, and those without an RPC a sixth. At least a
+  // third is left for other connections, since each RPC in flight needs one descriptor for its attempt. A
+  // third of the memory is for messages that client connections buffer, which leaves a third for responses
+  // and a third for the overhead of the allocator.
   const std::size_t descriptors = descriptor_budget_.limit;
   const double memory_bytes =
       limit_fraction(hot_restart_.get()) * static_cast<double>(config_.max_memory_bytes);
@@ -149,8 +150,8 @@
 }
 
 void Sidecar::start_polling_endpoints() {
-  // Many that start at once and ask for the complete list each keep its service busy for longer than it
-  // lasts.
+  // If many sidecars start at once and all poll for the complete list, the service that has it is busy with
+  // these polls for longer than the starts last. So a sidecar that has a list polls only for changes to it.
   if (endpoints_.size() > 0) discovery_.set_known_version(endpoints_.version());
   if (config_.load_balancer.must_poll_endpoints) {
     dispatcher_.on_endpoint_poll([this] { discovery_.poll(); });
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -119,10 +119,10 @@
   // Some endpoints respond twice, the second time some milliseconds late. On a connection that is reused at
   // once, the second response would be taken for the response to the next request. On a connection that stays
   // idle for `min_idle_after_extra_ms`, it arrives unexpected and closes the connection. The wait applies
-  // only for `extra_remembered_ms` after such a response was seen: applied permanently, it costs a third more
-  // connections, at endpoints that hold few (0.04 of the standing test). If requests follow one another
-  // faster, or if descriptors are scarce, the connection that has been idle for longest is used; otherwise
-  // each would be replaced by a new one.
+  // only for `extra_remembered_ms` after such a response was seen: applied permanently, it would cause a
+  // third more connections to be opened, at endpoints to which the sidecar has few connections. If requests
+  // follow one another faster, or if descriptors are scarce, the connection that has been idle for longest is
+  // used; otherwise each would be replaced by a new one.
   constexpr double min_idle_after_extra_ms = 25;
   constexpr double extra_remembered_ms = 60000;
   constexpr std::size_t max_spared_connections = 2;
--- a/tests/discovery_recovery_test.cpp
+++ b/tests/discovery_recovery_test.cpp
@@ -1,10 +1,10 @@
-// Discovery's return after an outage, emulated: all sidecars poll one service, which works on polls given up
-// as well.
+// Recovery of the emulated discovery service after an outage. All sidecars poll one service, which also works
+// on polls that were given up.
 //
-// What happened: lists came up to 15 s after the return, as the load balancer's wait after failed polls grew
-// to that. A short wait alone is not enough: where each poll is also given up before its turn in the
-// service's queue, sidecars poll ever anew and the service is kept busy with polls that nobody waits for. An
-// overdue poll therefore stays open.
+// The fault: sidecars received lists up to 15 s after the service's return, because the load balancer's wait
+// after failed polls had grown to that. A short wait alone is not enough: if each poll is also given up
+// before its turn in the service's queue, sidecars poll again and again, and the service is kept busy with
+// polls whose sidecars no longer wait for them. An overdue poll therefore stays open.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -36,7 +36,7 @@
   }
 };
 
-// The scenario's: servers begin to drain 10 s before discovery is back.
+// In the scenario, servers begin to drain 10 s before discovery is back.
 constexpr double change_to_return_ms = 10000;
 
 }  // namespace
@@ -63,7 +63,8 @@
       CAPTURE(queue_capacity);
       const RunMetrics metrics = Recovery{sidecar_count, 1.5, queue_capacity}.run(1);
       CHECK(metrics.endpoint_convergence_ms > change_to_return_ms);
-      // What it needs for one list for each sidecar, and as long again for polls in vain.
+      // The time that the service needs for one list for each sidecar, and as long again for polls that were
+      // given up.
       CHECK(metrics.endpoint_convergence_ms <= change_to_return_ms + 2 * 1.5 * poll_interval_ms);
     }
 }
--- a/tests/endings_discovery_test.cpp
+++ b/tests/endings_discovery_test.cpp
@@ -40,7 +40,7 @@
                       row.knows_version ? std::optional<std::uint64_t>(8) : std::nullopt);
       const double delay_ms = elapsed_until(discovery.loop, 2000, [&] { return !discovery.updates.empty(); });
       CHECK(delay_ms >= 0);
-      CHECK(delay_ms < grace_ms / 2 + 100);  // 490 ms or more without any one of its safeguards
+      CHECK(delay_ms < grace_ms / 2 + 100);  // 490 ms or more if any safeguard is missing
       CHECK(discovery.updates == (row.knows_version ? "+10b" : "=9ab"));
       CHECK(discovery.counters.endpoint_poll_failures == static_cast<std::int64_t>(row.responses.size()) - 1);
     }
--- a/tests/endings_drain_test.cpp
+++ b/tests/endings_drain_test.cpp
@@ -27,7 +27,8 @@
                       [&] { return unread.received.size() == 2 && idle.is_ended && crossing.is_ended; }));
     CHECK(unread.received[1].status == 200);
     CHECK(crossing.received.size() == 1);
-    // As the protocol says, the client sends the request again over a new connection.
+    // A client repeats a request on a new connection if its connection closed before any byte of the
+    // response.
     TestConnection& new_connection = sidecar.connect_client();
     CHECK(sidecar.status_of_request(new_connection, rpc_request_text("read", budget_ms)) == 200);
     CHECK_FALSE(new_connection.received[0].keep_alive);
--- a/tests/load_test.cpp
+++ b/tests/load_test.cpp
@@ -230,7 +230,7 @@
 remembers_ms = 900
 )");
   const std::string known = R"({"generation":4,"reset":true,"instances":[]})";
-  // As it is read from the file.
+  // The config is serialized and parsed again, as when a sidecar reads it from a file.
   const SidecarConfig c = decode_sidecar_config(
       nlohmann::json::parse(make_sidecar_config(s, 1, "127.0.0.1:1000", "127.0.0.1:1001", known, 5).dump()));
   const LoadBalancerConfig is = c.load_balancer;
--- a/tests/pipe_test.cpp
+++ b/tests/pipe_test.cpp
@@ -10,7 +10,7 @@
 
 using State = http::HttpParser::ParseState;
 
-// What a parser has returned of one message so far.
+// The parts of one message that a parser has returned so far.
 struct ParsedMessage {
   http::Message head;
   std::string body;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -369,7 +369,8 @@
     TestConnection client(loop, budget, start_connect(sidecar.address), response);
     TestConnection second(loop, budget, start_connect(sidecar.address), response);
     client.send(payment_request(1, 8000));
-    // Its attempt is connecting once another client has a response to a request that came after it.
+    // The attempt of the first client's RPC is connecting once the second client has a response to a later
+    // request.
     REQUIRE(wait_for(loop, 2000, [&] { return client.stream->unacknowledged_bytes() == 0; }));
     for (int i = 0; i < 3; ++i) {
       second.send("GET /-/ready HTTP/1.1\r\n\r\n");
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -48,7 +48,9 @@
     const double others_started_at = row.others_warm ? 0 : started_at;
     harness.update_endpoints(make_endpoints('a', 'c'));
     int sent = 0;
-    for (int i = 0; i < 600; ++i) {  // 100 a second: 33 an endpoint, 20 of 100 in slow start
+    // 100 RPCs per second are 33 per endpoint. An endpoint in slow start is overloaded at 33 x 0.2 (its
+    // weight) x 3 (overload factor) = 20 in its first second.
+    for (int i = 0; i < 600; ++i) {
       harness.now += 10;
       if (i == 300)
         harness.update_endpoints({make_endpoint("a", started_at), make_endpoint("b", others_started_at),
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-// One RPC that was answered in time after one attempt at server 0, and a drain of server 1 that was told in
-// time.
+// One RPC that was answered in time after one attempt at server 0, and a drain of server 1 of which the
+// sidecar was notified in time.
 struct SoundRun {
   std::unordered_map<std::string, RpcRecord> records{
       {"1", {.sent_at_ms = 1000, .deadline_ms = 1300, .end = RpcRecord::End::answered, .ended_at_ms = 1100}}};
