--- a/src/event/socket.cpp
+++ b/src/event/socket.cpp
@@ -69,7 +69,7 @@
       read_option(fd, SO_DOMAIN) != AF_INET)
     throw ConfigError({.file = {},
                        .field = "LB_INHERITED_FD",
-                       .cause = "names no listening TCP socket: " + std::to_string(fd)});
+                       .cause = "does not name a listening TCP socket: " + std::to_string(fd)});
   enable_receive_timestamps(fd);
   // O_NONBLOCK belongs to the socket and so applies to all processes that share it. A blocking accept would
   // stall the event loop.
