--- a/src/proxy/sidecar.cpp
+++ b/src/proxy/sidecar.cpp
@@ -22,7 +22,10 @@
                                (config.admin_address ? AdminServer::reserved_descriptors : 0) +
                                (config.cluster ? cluster_descriptors : 0);
   if (config.max_descriptors <= 2 * reserved)
-    throw ConfigError({.file = {}, .field = "config.limits", .cause = "allow too few sockets"});
+    throw ConfigError(
+        {.file = {},
+         .field = "config.limits",
+         .cause = "has a sockets value that is too low: too few descriptors would be left for connections"});
   return reserved;
 }
 
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -331,7 +331,9 @@
       {R"("maxPicks":1)", R"("maxPicks":0)", "config.settings.bounds.maxPicks is 0"},
       {R"("maxPicks":1)", R"("maxPicks":true)",
        "config.settings.bounds.maxPicks is not a whole number of 0 or more"},
-      {R"("sockets":300)", R"("sockets":3)", "config.limits allow too few sockets"},
+      {R"("sockets":300)", R"("sockets":3)",
+       "config.limits has a sockets value that is too low: too few descriptors would be left for "
+       "connections"},
       {R"("cancelling":false)", R"("cancelling":1)",
        "config.settings.bounds.cancelling is not true or false"},
   };
