--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -114,7 +114,7 @@
 }
 
 // A small fleet with every kind of fault that the emulator supports.
-const char* rough = R"(name = "rough"
+const char* scenario_with_faults = R"(name = "rough"
 seconds = 12
 warmup_s = 1
 sidecars = 8
@@ -250,30 +250,30 @@
 for_s = 2
 )";
 
-toml::table rough_table() { return toml::parse(rough); }
+toml::table table_with_faults() { return toml::parse(scenario_with_faults); }
 
-std::string with_line(const std::string& original, const std::string& replacement) {
-  std::string text = rough;
+std::string replace_in_scenario(const std::string& original, const std::string& replacement) {
+  std::string text = scenario_with_faults;
   const std::size_t position = text.find(original);
   REQUIRE(position != std::string::npos);
   return text.replace(position, original.size(), replacement);
 }
 
-struct Folder {
+struct TemporaryDirectory {
   std::filesystem::path path;
-  Folder() {
+  TemporaryDirectory() {
     std::string name = (std::filesystem::temp_directory_path() / "indigorill-emulator-XXXXXX").string();
     REQUIRE(::mkdtemp(name.data()));
     path = name;
   }
-  ~Folder() { std::filesystem::remove_all(path); }
-  std::string put(const std::string& name, const std::string& text) const {
+  ~TemporaryDirectory() { std::filesystem::remove_all(path); }
+  std::string write_file(const std::string& name, const std::string& text) const {
     std::ofstream(path / name) << text;
     return (path / name).string();
   }
 };
 
-int call(std::vector<const char*> arguments, std::string* out = nullptr, std::string* err = nullptr) {
+int run_emulator(std::vector<const char*> arguments, std::string* out = nullptr, std::string* err = nullptr) {
   arguments.insert(arguments.begin(), "indigorill-emulator");
   std::ostringstream output;
   std::ostringstream errors;
@@ -458,7 +458,7 @@
     // Almost no requests arrive in the last second, which is longer than any RPC lasts and any connection
     // stays idle.
     Simulation simulation(decode_scenario(toml::parse(
-                              std::string(rough) +
+                              std::string(scenario_with_faults) +
                               "[[trouble]]\nwhat = \"surge\"\nat_s = 10.9\nfor_s = 1.1\nfactor = 0.001\n")),
                           policy, 3);
     std::uint64_t event_count = 0;
@@ -480,7 +480,7 @@
 }
 
 TEST_CASE("emulator: a run whose queues never drain ends after its duration plus the longest deadline") {
-  toml::table scenario = rough_table();
+  toml::table scenario = table_with_faults();
   set_value(scenario, "load.rate", 3000);
   set_value(scenario, "server[0].queue", 1000000);
   set_value(scenario, "seconds", 11);
@@ -492,7 +492,7 @@
 
 TEST_CASE(
     "emulator: the load balancer keeps the rules in a run with faults and random selection violates rule 4") {
-  toml::table scenario = rough_table();
+  toml::table scenario = table_with_faults();
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const RunMetrics metrics = run_simulation(decode_scenario(scenario), PolicyKind::load_balancer, seed);
     CAPTURE(metrics.violations.empty() ? "" : describe(metrics.violations[0]));
@@ -512,7 +512,7 @@
 
 TEST_CASE("emulator: output depends on the seed but not on the number of threads") {
   Experiment experiment;
-  experiment.base_scenario = rough_table();
+  experiment.base_scenario = table_with_faults();
   set_value(experiment.base_scenario, "seconds", 11);
   experiment.axes = {parse_axis("load.rate=100,200")};
   experiment.policies = {PolicyKind::load_balancer, PolicyKind::true_state};
@@ -535,7 +535,7 @@
 
 TEST_CASE("emulator: two policies with the same seed receive the same number of requests") {
   const Scenario scenario = decode_scenario([] {
-    toml::table table = rough_table();
+    toml::table table = table_with_faults();
     table.erase("trouble");
     return table;
   }());
@@ -940,8 +940,8 @@
   };
   for (const auto& row : table) {
     CAPTURE(row.replacement);
-    const Folder folder;
-    const std::string file = folder.put("s.toml", with_line(row.original, row.replacement));
+    const TemporaryDirectory folder;
+    const std::string file = folder.write_file("s.toml", replace_in_scenario(row.original, row.replacement));
     std::string text;
     try {
       decode_scenario(read_toml_file(file));
@@ -953,22 +953,23 @@
     CHECK(text.find(row.reason) != std::string::npos);
     std::string out;
     std::string err;
-    CHECK(call({"run", file.c_str()}, &out, &err) == 2);
+    CHECK(run_emulator({"run", file.c_str()}, &out, &err) == 2);
     CHECK(out.empty());
     CHECK(err == text + "\n");
   }
   // All errors are reported at once.
-  const Folder folder;
-  const std::string invalid_file = folder.put("s.toml", with_line("queue = 6", "queue = -6\nnonsense = 1"));
+  const TemporaryDirectory folder;
+  const std::string invalid_file =
+      folder.write_file("s.toml", replace_in_scenario("queue = 6", "queue = -6\nnonsense = 1"));
   std::string err;
-  CHECK(call({"run", invalid_file.c_str()}, nullptr, &err) == 2);
+  CHECK(run_emulator({"run", invalid_file.c_str()}, nullptr, &err) == 2);
   CHECK(std::count(err.begin(), err.end(), '\n') == 2);
-  CHECK(call({"run", "/nowhere/s.toml"}, nullptr, &err) == 2);
+  CHECK(run_emulator({"run", "/nowhere/s.toml"}, nullptr, &err) == 2);
   CHECK(err.find("/nowhere/s.toml") == 0);
 }
 
 TEST_CASE("emulator: variables are set and read by path and invalid axes are rejected") {
-  toml::table scenario_table = rough_table();
+  toml::table scenario_table = table_with_faults();
   set_value(scenario_table, "trouble[1].for_s", 2.5);
   CHECK(value_at(scenario_table, "trouble[1].for_s") == 2.5);
   set_value(scenario_table, "sidecars", 9);
@@ -1000,7 +1001,7 @@
     else
       CHECK(parse_axis(row.text).values == row.values);
   }
-  toml::table with_ranges = rough_table();
+  toml::table with_ranges = table_with_faults();
   with_ranges.insert("ranges", toml::table{{"load.rate", toml::array{500, 100}}});
   CHECK_THROWS_AS(decode_scenario(with_ranges), ConfigError);
 }
@@ -1055,16 +1056,16 @@
 }
 
 TEST_CASE("emulator: the subcommands write their output and invalid arguments are rejected") {
-  const Folder folder;
-  const std::string file =
-      folder.put("s.toml", std::string(rough) + "[ranges]\n\"load.rate\" = [100, 300]\n");
+  const TemporaryDirectory folder;
+  const std::string file = folder.write_file(
+      "s.toml", std::string(scenario_with_faults) + "[ranges]\n\"load.rate\" = [100, 300]\n");
   const std::string output_directory = (folder.path / "out").string();
   const std::string trace_file = (folder.path / "log.jsonl").string();
   std::string out;
   std::string err;
-  CHECK(call({"run", file.c_str(), "--out", output_directory.c_str(), "--log", trace_file.c_str(), "--set",
-              "load.rate=100"},
-             &out, &err) == 0);
+  CHECK(run_emulator({"run", file.c_str(), "--out", output_directory.c_str(), "--log", trace_file.c_str(),
+                      "--set", "load.rate=100"},
+                     &out, &err) == 0);
   CHECK(out.find("module, 1 run\n") == 0);
   for (const char* name : {"summary.csv", "seconds.csv", "runs.jsonl", "plot.gp"})
     CHECK(std::filesystem::file_size(folder.path / "out" / name) > 100);
@@ -1074,13 +1075,13 @@
   for (std::string line; std::getline(trace, line); ++line_count) REQUIRE(nlohmann::json::accept(line));
   CHECK(line_count > 1000);
 
-  CHECK(
-      call({"compare", file.c_str(), "--runs", "2", "--policy", "module", "random", "--set", "load.rate=60"},
-           &out) != 2);
+  CHECK(run_emulator(
+            {"compare", file.c_str(), "--runs", "2", "--policy", "module", "random", "--set", "load.rate=60"},
+            &out) != 2);
   CHECK(out.find("beside module") != std::string::npos);
-  CHECK(call({"sweep", file.c_str(), "--over", "load.rate=60,90", "sidecars=2,4"}, &out) == 0);
+  CHECK(run_emulator({"sweep", file.c_str(), "--over", "load.rate=60,90", "sidecars=2,4"}, &out) == 0);
   CHECK(out.find("load.rate=90 sidecars=4, 1 run") != std::string::npos);
-  CHECK(call({"search", file.c_str(), "--tries", "2", "--out", output_directory.c_str()}, &out) == 0);
+  CHECK(run_emulator({"search", file.c_str(), "--tries", "2", "--out", output_directory.c_str()}, &out) == 0);
   CHECK(std::filesystem::exists(folder.path / "out" / "smallest.toml"));
 
   const char* invalid_arguments[][4]{{"run", file.c_str(), "--set", "load.rat"},
@@ -1094,9 +1095,9 @@
   for (const auto& arguments : invalid_arguments) {
     CAPTURE(arguments[0]);
     CAPTURE(arguments[3]);
-    CHECK(call({arguments[0], arguments[1], arguments[2], arguments[3]}, &out, &err) == 2);
+    CHECK(run_emulator({arguments[0], arguments[1], arguments[2], arguments[3]}, &out, &err) == 2);
     CHECK(out.empty());
     CHECK_FALSE(err.empty());
   }
-  CHECK(call({"--help"}, &out, &err) == 0);
+  CHECK(run_emulator({"--help"}, &out, &err) == 0);
 }
