--- a/src/config/toml_section.cpp
+++ b/src/config/toml_section.cpp
@@ -55,9 +55,9 @@
     return min;
   }
   if (!(*number >= min && *number <= max)) {
-    add_error_at(
-        *node, key,
-        "is " + format_number(*number) + ", not " + format_number(min) + " to " + format_number(max));
+    add_error_at(*node, key,
+                 "is " + format_number(*number) + ", not in the range " + format_number(min) + " to " +
+                     format_number(max));
     return min;
   }
   return *number;
--- a/src/config/toml_section.h
+++ b/src/config/toml_section.h
@@ -71,7 +71,7 @@
     if (node->is_string() && entry != names.end()) return entry->second;
     std::string known_names;
     for (const auto& [name, value] : names) known_names += (known_names.empty() ? "" : ", ") + name;
-    add_error_at(*node, key, "is none of " + known_names);
+    add_error_at(*node, key, "is not one of " + known_names);
     return names.begin()->second;
   }
 
--- a/src/limits/fleet_limiter.cpp
+++ b/src/limits/fleet_limiter.cpp
@@ -64,7 +64,7 @@
   if (!is_whole_number(position.instances, 1, max_instances))
     error << "instances is " << position.instances << ", not a whole number from 1 to " << max_instances;
   else if (!is_between(position.weight, min_weight, position.instances))
-    error << "weight is " << position.weight << ", not 0.001 to the number of instances";
+    error << "weight is " << position.weight << ", not in the range 0.001 to the number of instances";
   else if (position.index && !is_whole_number(*position.index, 0, max_instances))
     error << "index is " << *position.index << ", not a whole number from 0";
   else if (position.index && position.weight != 1)
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -916,7 +916,7 @@
     std::string original, replacement, reason;
     int line;
   } table[] = {
-      {"sidecars = 8", "sidecars = 0", "sidecars is 0, not 1 to 100000", 4},
+      {"sidecars = 8", "sidecars = 0", "sidecars is 0, not in the range 1 to 100000", 4},
       {"sidecars = 8", "sidecars = 2.5", "sidecars is not a whole number", 4},
       {"sidecars = 8", "sidecars = \"many\"", "sidecars is not a number", 4},
       {"sidecars = 8", "sidecar = 8", "sidecars is missing", 1},
@@ -925,16 +925,16 @@
       {"seconds = 12", "seconds = nan", "seconds is nan", 2},
       {"cores = 1", "cores = -1", "server.cores is -1", 8},
       {"queue = 6", "queues = 6", "server.queues is unknown", 9},
-      {"shape = \"bursts\"", "shape = \"lumps\"", "load.shape is none of bursts, poisson, ramp", 18},
+      {"shape = \"bursts\"", "shape = \"lumps\"", "load.shape is not one of bursts, poisson, ramp", 18},
       {"burst_times = 2", "", "load.burst_times is missing", 16},
       {"loss = 0.001", "loss = true", "net.loss is not a number", 27},
       {"doubles = true", "doubles = 1", "clients.doubles is not true or false", 32},
       {"latency_target_ms = 150", "latency_target_ms = 0", "must be over 0", 50},
       {"deadline_ms = 500", "deadline_ms = 50", "lies before the latency target", 51},
-      {"repeats = \"non-idempotent\"", "repeats = 3", "method.repeats is none of", 61},
+      {"repeats = \"non-idempotent\"", "repeats = 3", "method.repeats is not one of", 61},
       {"law = \"pareto\"", "law = \"pareto\"\nspread = 0.9", "must be over 1 for pareto", 67},
       {"at_s = 2\n", "at_s = 20\n", "lies outside the run", 74},
-      {"zone = 1", "zone = 7", "trouble.zone is 7, not 0 to 2", 82},
+      {"zone = 1", "zone = 7", "trouble.zone is 7, not in the range 0 to 2", 82},
       {"what = \"stall\"", "what = \"stall\"\nfactor = 2", "trouble.factor is unknown", 101},
       {"[load]", "[load", "expected ']'", 16},
   };
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -90,7 +90,7 @@
   const TemporaryFile options("[log]\nlevel = \"loud\"\nform = \"xml\"\n");
   const CommandResult result = run_command({"--options", options.path()}, {{"LB_CONFIG", "/nowhere"}});
   CHECK(result.status == 1);
-  CHECK(result.err.find("log.level is none of debug, error, info, warning") != std::string::npos);
+  CHECK(result.err.find("log.level is not one of debug, error, info, warning") != std::string::npos);
 }
 
 TEST_CASE("--check-config prints one line for each problem of both files") {
@@ -117,7 +117,7 @@
   const CommandResult all = check_files(bad, options);
   CHECK(all.status == 1);
   CHECK(count_lines(all.err) == 9);
-  for (const char* problem : {":2: log.form is none of", ":4: limits.sockets is too low",
+  for (const char* problem : {":2: log.form is not one of", ":4: limits.sockets is too low",
                               ":5: limits.moon is unknown", "config.name is", "config.discovery is",
                               "config.seed is", "config.limits has a memory_mb or sockets value",
                               "config.known.generation is", "config.settings lists no methods"}) {
