--- a/src/emulator/scenario_decoder.cpp
+++ b/src/emulator/scenario_decoder.cpp
@@ -61,7 +61,7 @@
   method.deadline_ms = section.duration_ms("deadline_ms", method.latency_objective_ms);
   if (!(method.latency_objective_ms > 0)) section.add_error("latency_target_ms", "must be over 0");
   if (method.deadline_ms < method.latency_objective_ms)
-    section.add_error("deadline_ms", "lies before the latency target");
+    section.add_error("deadline_ms", "is less than latency_target_ms");
   method.priority_weight = section.number("utility", 1, 0, max_value);
   method.late_weight = section.number("late_utility", 0, 0, 1);
   method.retry_safety = section.enum_value<RetrySafety>("repeats", RetrySafety::idempotent,
@@ -250,7 +250,7 @@
   fault.start_ms = section.seconds_as_ms("at_s", {});
   fault.duration_ms = section.seconds_as_ms("for_s", {});
   if (fault.start_ms <= 0 || fault.start_ms >= scenario.duration_ms)
-    section.add_error("at_s", "lies outside the run");
+    section.add_error("at_s", "is outside the run");
   if (affects_a_share(fault.kind)) fault.share = section.number("share", {}, 0, 1);
   if (can_be_spread(fault.kind)) fault.spread_ms = section.seconds_as_ms("over_s", 0);
   if (has_factor(fault.kind)) fault.factor = section.number("factor", {}, 0.001, 1000);
@@ -269,7 +269,7 @@
   scenario.duration_ms = top.seconds_as_ms("seconds", {});
   scenario.warmup_ms = top.seconds_as_ms("warmup_s", 0);
   if (scenario.duration_ms <= 0) top.add_error("seconds", "must be over 0");
-  if (scenario.warmup_ms >= scenario.duration_ms) top.add_error("warmup_s", "leaves nothing to measure");
+  if (scenario.warmup_ms >= scenario.duration_ms) top.add_error("warmup_s", "leaves no time to measure");
   scenario.sidecars = top.integer("sidecars", {}, 1, 100000);
 }
 
