--- a/src/limits/fleet_limiter.cpp
+++ b/src/limits/fleet_limiter.cpp
@@ -19,8 +19,8 @@
 constexpr double slot_overlap = 2;
 // Probability that the random division exceeds a limit in one slot of one server.
 constexpr double violation_probability = 1e-6;
-// Added to the delay until the next slot, since a retry exactly at the boundary could fall into the old slot
-// again each time.
+// Added to the delay until the next slot: because of rounding, a retry exactly at the boundary could fall
+// into the old slot again each time.
 constexpr double slot_boundary_margin_ms = 1;
 
 constexpr double max_instances = 1e7;
@@ -64,7 +64,7 @@
   if (!is_whole_number(position.instances, 1, max_instances))
     error << "instances is " << position.instances << ", not a whole number from 1 to " << max_instances;
   else if (!is_between(position.weight, min_weight, position.instances))
-    error << "weight is " << position.weight << ", not 0.001 to the number of instances";
+    error << "weight is " << position.weight << ", not in the range 0.001 to the number of instances";
   else if (position.index && !is_whole_number(*position.index, 0, max_instances))
     error << "index is " << *position.index << ", not a whole number from 0";
   else if (position.index && position.weight != 1)
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -331,7 +331,9 @@
       {R"("maxPicks":1)", R"("maxPicks":0)", "config.settings.bounds.maxPicks is 0"},
       {R"("maxPicks":1)", R"("maxPicks":true)",
        "config.settings.bounds.maxPicks is not a whole number of 0 or more"},
-      {R"("sockets":300)", R"("sockets":3)", "config.limits allow too few sockets"},
+      {R"("sockets":300)", R"("sockets":3)",
+       "config.limits has a sockets value that is too low: too few descriptors would be left for "
+       "connections"},
       {R"("cancelling":false)", R"("cancelling":1)",
        "config.settings.bounds.cancelling is not true or false"},
   };
@@ -369,7 +371,8 @@
     TestConnection client(loop, budget, start_connect(sidecar.address), response);
     TestConnection second(loop, budget, start_connect(sidecar.address), response);
     client.send(payment_request(1, 8000));
-    // Its attempt is connecting once another client has a response to a request that came after it.
+    // The attempt of the first client's RPC is connecting once the second client has a response to a later
+    // request.
     REQUIRE(wait_for(loop, 2000, [&] { return client.stream->unacknowledged_bytes() == 0; }));
     for (int i = 0; i < 3; ++i) {
       second.send("GET /-/ready HTTP/1.1\r\n\r\n");
