--- a/src/load_balancer/candidate_scoring.cpp
+++ b/src/load_balancer/candidate_scoring.cpp
@@ -74,8 +74,8 @@
   // chance.
   constexpr double full_history = 16;
   constexpr double assumed_successes = 2;
-  constexpr double min_recency_unit_ms = 1000;  // 3 and 10 s are no better
-  constexpr double max_log2_recency = 6;        // prevents overflow
+  constexpr double min_recency_unit_ms = 1000;
+  constexpr double max_log2_recency = 6;  // prevents overflow
   const auto [outcomes, failures] = endpoint.count_outcomes_since(state.now_ms - retention_ms);
   const double peer_failures = state.peer_loads.failures(endpoint.gossip_tag(), state.now_ms);
   const double idle_ms = state.now_ms - endpoint.last_sent_at_ms;
@@ -159,8 +159,8 @@
   // The RPC may take longer than the mean, and its wait must leave time for that. In mean service times.
   constexpr double service_time_margin = 1.6;
   // A sidecar with little traffic relies on a guessed service time for long; with the whole guess it would
-  // reject RPCs that idle endpoints could serve.
-  constexpr double guess_share = 0.4;  // 0.2 gives a similar result, 0.7 rejects three times as many RPCs
+  // reject RPCs that idle endpoints could serve. A larger share rejects more RPCs.
+  constexpr double guess_share = 0.4;
   // Number of recent failures from which no response in time is expected; higher if a load report shows that
   // the endpoint is nearly idle.
   constexpr double max_failures = 3;
--- a/src/load_balancer/load_estimates.cpp
+++ b/src/load_balancer/load_estimates.cpp
@@ -38,12 +38,12 @@
 }
 
 double report_confidence(const BalancerState& state, const TrackedEndpoint& endpoint) {
-  constexpr double half_life_ms = 200;  // then the estimate is halfway to the mean; 100 and 400 are similar
+  constexpr double half_life_ms = 200;  // then the estimate is halfway to the mean
   return decayed_share((state.now_ms - endpoint.reported_at_ms) / half_life_ms);
 }
 
 bool has_fresh_report(const BalancerState& state, const TrackedEndpoint& endpoint) {
-  constexpr double max_age_ms = 10;  // 3 to 40 give similar results
+  constexpr double max_age_ms = 10;
   return state.now_ms - endpoint.reported_at_ms <= max_age_ms;
 }
 
